--- a/src/adapters/datagram-fleet.spec.ts
+++ b/src/adapters/datagram-fleet.spec.ts
@@ -57,7 +57,7 @@
   const second = createFleet(SECOND);
   const heard: Array<[number, Beat]> = [];
   const ignore = {
-    onBeat: () => undefined,
+    onHeartbeat: () => undefined,
     onPull: () => ({
       routes: undefined,
       servers: undefined,
@@ -66,7 +66,7 @@
     }),
   };
   await first.fleet.serve({
-    onBeat: (sender, beat) => heard.push([sender, beat]),
+    onHeartbeat: (sender, beat) => heard.push([sender, beat]),
     onPull: ({asker, routeVersion, serverRevision, serverDigest}) => ({
       routes: {
         version: routeVersion + serverRevision,
@@ -83,7 +83,7 @@
   await first.fleet.servePulls();
   await second.fleet.serve(ignore);
   try {
-    second.fleet.beat(FIRST, BEAT);
+    second.fleet.sendHeartbeat(FIRST, BEAT);
     await until(() => heard.length === 1);
     assert.deepEqual(heard[0], [SECOND, BEAT]);
 
--- a/src/adapters/datagram-fleet.ts
+++ b/src/adapters/datagram-fleet.ts
@@ -69,7 +69,7 @@
     );
   }
 
-  beat(address: number, beat: Beat): void {
+  sendHeartbeat(address: number, beat: Beat): void {
     const bytes = Beat.encode(beat).finish();
     this.options.counters.add(Metric.CONTROL_DATAGRAMS_SENT);
     this.options.counters.add(Metric.CONTROL_BYTES_SENT, bytes.length);
@@ -132,7 +132,7 @@
       this.options.counters.add(Metric.PEER_DATAGRAMS_REFUSED);
       return;
     }
-    handlers.onBeat(sender, beat);
+    handlers.onHeartbeat(sender, beat);
   }
 }
 
--- a/src/catalog/seekers.ts
+++ b/src/catalog/bootstrapping-peers.ts
@@ -9,15 +9,15 @@
 const MAXIMUM_SEEKERS = 256;
 
 /** The seekers that one daemon heard of. */
-export class Seekers {
+export class BootstrappingPeers {
   /** When each last said so; monotonic milliseconds. */
   private readonly heardAt = new Map<number, number>();
 
   private constructor() {}
 
   /** Creates a record without seekers. */
-  static create(): Seekers {
-    return new Seekers();
+  static create(): BootstrappingPeers {
+    return new BootstrappingPeers();
   }
 
   /** Notes whether a daemon has a copy, by its own word. */
--- a/src/catalog/copy-exchange.ts
+++ b/src/catalog/catalog-exchange.ts
@@ -9,7 +9,7 @@
 import {formatIpv4} from '../routing/ipv4.js';
 import {applyUpdate, updateFor} from './catalog-messages.js';
 import type {Catalog} from './catalog.js';
-import {CopyGiver} from './copy-giver.js';
+import {CatalogTransferLimiter} from './catalog-transfer-limiter.js';
 
 /** Deadline of one pull, in milliseconds. */
 const PULL_LIMIT_MS = 900;
@@ -23,7 +23,7 @@
 const RECORDS_GAP_MS = 1_000;
 
 /** What an exchange is made from. */
-export interface CopyExchangeOptions {
+export interface CatalogExchangeOptions {
   /** Address of this daemon. */
   readonly self: number;
   readonly linkMbps: number;
@@ -32,14 +32,14 @@
   readonly clock: Clock;
   readonly log: Log;
   /** Until when a first copy is expected from the source; monotonic milliseconds. */
-  copyExpectedUntil(): number;
+  snapshotExpectedUntil(): number;
   /** Told when something newer was taken. */
   onTaken(): void;
 }
 
 /** The copies that one daemon gives and takes. */
-export class CopyExchange {
-  private readonly giver: CopyGiver;
+export class CatalogExchange {
+  private readonly giver: CatalogTransferLimiter;
   /** Addresses of the peers that are being asked. */
   private readonly pulls = new Set<number>();
   /** When records may be asked for again; monotonic milliseconds. */
@@ -47,13 +47,13 @@
   /** What was held and what was told when nothing was gained by asking for records. */
   private fruitless: readonly [held: number, told: number] | undefined;
 
-  private constructor(private readonly options: CopyExchangeOptions) {
-    this.giver = CopyGiver.create(options.linkMbps);
+  private constructor(private readonly options: CatalogExchangeOptions) {
+    this.giver = CatalogTransferLimiter.create(options.linkMbps);
   }
 
   /** Creates an exchange that asks nobody. */
-  static create(options: CopyExchangeOptions): CopyExchange {
-    return new CopyExchange(options);
+  static create(options: CatalogExchangeOptions): CatalogExchange {
+    return new CatalogExchange(options);
   }
 
   /** Whether a peer is being asked for its copy. */
@@ -169,7 +169,7 @@
   /** Waits while a first copy is expected from the source. */
   private async awaitCopy(): Promise<void> {
     const {clock, catalog} = this.options;
-    const until = this.options.copyExpectedUntil();
+    const until = this.options.snapshotExpectedUntil();
     if (until > clock.now()) {
       await new Promise<void>(resolve => {
         clock.callAt(until, resolve);
--- a/src/catalog/spread.ts
+++ b/src/catalog/catalog-gossip.ts
@@ -14,11 +14,15 @@
 import {ContactResult} from '../ports/server-contact.js';
 import type {ServerReachability} from '../reachability/server-reachability.js';
 import type {Random} from '../routing/random.js';
-import {ageOf, decodeMark, encodeMark} from './catalog-messages.js';
+import {
+  ageOf,
+  decodeReaderStatus,
+  encodeReaderStatus,
+} from './catalog-messages.js';
 import type {Catalog} from './catalog.js';
-import {CopyExchange} from './copy-exchange.js';
-import type {ReadTurns} from './read-turns.js';
-import {Seekers} from './seekers.js';
+import {CatalogExchange} from './catalog-exchange.js';
+import type {ReaderElection} from './reader-election.js';
+import {BootstrappingPeers} from './bootstrapping-peers.js';
 
 /** Time between two beats, in milliseconds; a fifth of it is by chance. */
 const BEAT_MS = 500;
@@ -55,10 +59,10 @@
 const RELAY_GAP_MS = 25;
 
 /** What the spread is made from. */
-export interface SpreadOptions {
+export interface CatalogGossipOptions {
   readonly catalog: Catalog;
   readonly peers: PeerView;
-  readonly turns: ReadTurns;
+  readonly election: ReaderElection;
   readonly reach: ServerReachability;
   readonly channel: FleetChannel;
   readonly clock: Clock;
@@ -74,34 +78,34 @@
    * Work to tell. In a large fleet too few daemons hear of it for counts to mean
    * anything; only servers that are silent are to be told.
    */
-  workToTell(isLarge: boolean): ServerWork[];
+  selectLoadToGossip(isLarge: boolean): ServerWork[];
   /** Until when a first copy is expected from the source; monotonic milliseconds. */
-  copyExpectedUntil(): number;
+  snapshotExpectedUntil(): number;
   /** Told when another daemon begins to read the source, or ceases to. */
-  onTurns(): void;
+  onElectionChange(): void;
   /** Takes the work that a peer told. */
   onWork(sender: number, work: readonly ServerWork[]): void;
 }
 
 /** The exchange of one daemon with its peers. */
-export class CatalogSpread {
+export class CatalogGossip {
   private timer: Timer | undefined;
   private round = 0;
   /** Set while news waits to be passed on. */
   private relayTimer: Timer | undefined;
   /** Monotonic milliseconds at which news was last passed on. */
   private relayedAt = -Infinity;
-  private readonly copies: CopyExchange;
-  private readonly seekers = Seekers.create();
+  private readonly copies: CatalogExchange;
+  private readonly seekers = BootstrappingPeers.create();
   /** How often those that have no copy were told of others that have one. */
   private timesToldSeekers = 0;
   private seekerTimer: Timer | undefined;
   private hadCopy = false;
   private readonly startedAt: number;
 
-  private constructor(private readonly options: SpreadOptions) {
+  private constructor(private readonly options: CatalogGossipOptions) {
     this.startedAt = options.clock.now();
-    this.copies = CopyExchange.create({
+    this.copies = CatalogExchange.create({
       ...options,
       self: options.self().address,
       onTaken: () => this.relay(),
@@ -109,15 +113,15 @@
   }
 
   /** Creates a spread that does nothing until started. */
-  static create(options: SpreadOptions): CatalogSpread {
-    return new CatalogSpread(options);
+  static create(options: CatalogGossipOptions): CatalogGossip {
+    return new CatalogGossip(options);
   }
 
   /** Starts to serve peers and to send beats; the returned function stops. */
   async start(): Promise<() => void> {
     const {channel, catalog} = this.options;
     await channel.serve({
-      onBeat: (sender, beat) => this.onBeat(sender, beat),
+      onHeartbeat: (sender, beat) => this.onBeat(sender, beat),
       onPull: held => this.copies.give(held),
     });
     catalog.onChange(() => this.tellSeekersOfOwn());
@@ -192,9 +196,12 @@
     const receivers = this.receivers();
     const asked = this.isLarge() ? this.oldestNearPeers(1) : [];
     const greeted = new Map(
-      [...peers.toGreet(now), ...asked].map(peer => [peer.address, peer]),
+      [...peers.selectPeersToPing(now), ...asked].map(peer => [
+        peer.address,
+        peer,
+      ]),
     );
-    greeted.forEach(peer => peers.noteGreeted(peer, now));
+    greeted.forEach(peer => peers.recordPing(peer, now));
     this.sendToAll([...greeted.values()], true);
     // A greeting takes the place of one beat.
     const others = receivers
@@ -262,34 +269,38 @@
   /** Sends a beat to any daemon but this one, which may be among the seeds. */
   private send(address: number, beat: Beat): void {
     if (address !== this.options.self().address) {
-      this.options.channel.beat(address, beat);
+      this.options.channel.sendHeartbeat(address, beat);
     }
   }
 
   /** What this daemon tells now; a beat with `hello` is answered at once. */
   private beat(hello: boolean): Beat {
-    const {catalog, peers, turns, reach, clock} = this.options;
+    const {catalog, peers, election: turns, reach, clock} = this.options;
     const now = clock.now();
     const {stamp} = catalog;
     return {
       sender: this.options.self(),
-      peers: peers.told(now),
+      peers: peers.selectPeersToGossip(now),
       routeVersion: stamp.routeVersion,
       routesAgeMs: ageOf(stamp.routesConfirmedAt, now),
       serverRevision: stamp.serverRevision,
       serverDigest: stamp.serverDigest,
       serversAgeMs: ageOf(stamp.serversConfirmedAt, now),
-      work: this.options.workToTell(this.isLarge()),
+      work: this.options.selectLoadToGossip(this.isLarge()),
       hello,
-      reads: turns.told(now).map(mark => encodeMark(mark, now)),
+      reads: turns
+        .selectStatusesToGossip(now)
+        .map(mark => encodeReaderStatus(mark, now)),
       reachAsks: [],
       reachVotes: [],
-      reachNews: reach.told(now).map(({server, reached, at, startTime}) => ({
-        server,
-        reached,
-        ageMs: ageOf(at, now),
-        startTime,
-      })),
+      reachNews: reach
+        .selectFindingsToGossip(now)
+        .map(({server, reached, at, startTime}) => ({
+          server,
+          reached,
+          ageMs: ageOf(at, now),
+          startTime,
+        })),
       unreadableDigest: catalog.unreadableDigest,
     };
   }
@@ -388,7 +399,7 @@
   private sendToSeekers(addresses: readonly number[]): void {
     const {peers, clock} = this.options;
     if (addresses.length > 0) {
-      const told = peers.toldToSeeker(clock.now());
+      const told = peers.selectPeersForBootstrap(clock.now());
       const beat = {...this.beat(false), peers: told};
       addresses.forEach(address => this.send(address, beat));
     }
@@ -438,12 +449,12 @@
 
   /** Takes what a beat says of readers; returns what is the greatest news of it. */
   private takeMarks(beat: Beat, now: number): number {
-    const {turns} = this.options;
+    const {election: turns} = this.options;
     const gains = beat.reads
-      .map(mark => decodeMark(mark, now))
+      .map(mark => decodeReaderStatus(mark, now))
       .map(mark => turns.hear(mark, now));
     if (gains.includes(Infinity)) {
-      this.options.onTurns();
+      this.options.onElectionChange();
     }
     return Math.max(0, ...gains);
   }
--- a/src/catalog/catalog-messages.ts
+++ b/src/catalog/catalog-messages.ts
@@ -11,7 +11,7 @@
 import type {CatalogReading} from '../ports/catalog-source.js';
 import type {HeldVersions} from '../ports/fleet-channel.js';
 import type {Catalog} from './catalog.js';
-import type {ReadMark} from './read-marks.js';
+import type {ReaderStatus} from './reader-statuses.js';
 import {
   ServerState,
   type CatalogRoute,
@@ -35,13 +35,19 @@
 }
 
 /** A reader's mark, with its time as an age. */
-export function encodeMark(mark: ReadMark, now: number): ReadMarkMessage {
+export function encodeReaderStatus(
+  mark: ReaderStatus,
+  now: number,
+): ReadMarkMessage {
   const {reader, failureDomain, capacity, state, at} = mark;
   return {reader, failureDomain, capacity, state, ageMs: ageOf(at, now)};
 }
 
 /** The inverse of `encodeMark`. */
-export function decodeMark(message: ReadMarkMessage, now: number): ReadMark {
+export function decodeReaderStatus(
+  message: ReadMarkMessage,
+  now: number,
+): ReaderStatus {
   const {reader, failureDomain, capacity, state, ageMs} = message;
   return {reader, failureDomain, capacity, state, at: now - ageMs};
 }
@@ -91,12 +97,12 @@
 }
 
 /** All that a catalog holds, for daemons that start. */
-export function encodeWhole(catalog: Catalog, now: number): Uint8Array {
+export function encodeSnapshot(catalog: Catalog, now: number): Uint8Array {
   return CatalogUpdate.encode(updateFor(catalog, NOTHING_HELD, now)).finish();
 }
 
 /** The inverse of `encodeWhole`; the error is the cause as text. */
-export function decodeWhole(
+export function decodeSnapshot(
   bytes: Uint8Array,
   now: number,
 ): Result<CatalogReading, string> {
--- a/src/catalog/reader.ts
+++ b/src/catalog/catalog-reader.ts
@@ -14,9 +14,9 @@
 import type {Log} from '../ports/log.js';
 import type {Random} from '../routing/random.js';
 import type {Catalog} from './catalog.js';
-import {CopyKeeper} from './copy-keeper.js';
-import {FirstCopy} from './first-copy.js';
-import type {ReadTurns} from './read-turns.js';
+import {SnapshotWriter} from './snapshot-writer.js';
+import {SnapshotReader} from './snapshot-reader.js';
+import type {ReaderElection} from './reader-election.js';
 import type {CatalogEvents} from './records.js';
 
 /**
@@ -85,13 +85,13 @@
 const LONELY_WAIT_SHARE = 1 / 4;
 
 /** What a reader is made from. */
-export interface ReaderOptions {
+export interface CatalogReaderOptions {
   readonly catalog: Catalog;
   readonly source: CatalogSource;
   readonly clock: Clock;
   readonly log: Log;
   readonly random: Random;
-  readonly turns: ReadTurns;
+  readonly election: ReaderElection;
   /** Whether the whole fleet starts for the first time. */
   readonly isFirstStart: boolean;
   /** What the instance's link carries, in megabits a second. */
@@ -130,13 +130,13 @@
   /** When a read last succeeded; monotonic milliseconds. */
   private readAt = -Infinity;
 
-  private readonly firstCopy: FirstCopy;
-  private readonly keeper: CopyKeeper;
+  private readonly firstCopy: SnapshotReader;
+  private readonly keeper: SnapshotWriter;
 
-  private constructor(private readonly options: ReaderOptions) {
-    const {clock, turns, isFirstStart, linkMbps} = options;
-    this.firstCopy = FirstCopy.create(options);
-    this.keeper = CopyKeeper.create(options);
+  private constructor(private readonly options: CatalogReaderOptions) {
+    const {clock, election: turns, isFirstStart, linkMbps} = options;
+    this.firstCopy = SnapshotReader.create(options);
+    this.keeper = SnapshotWriter.create(options);
     const wait = isFirstStart
       ? FIRST_TURNS_MS * turns.place
       : headStartOf(linkMbps);
@@ -147,7 +147,7 @@
   }
 
   /** Creates a reader that does nothing until started. */
-  static create(options: ReaderOptions): CatalogReader {
+  static create(options: CatalogReaderOptions): CatalogReader {
     return new CatalogReader(options);
   }
 
@@ -165,7 +165,7 @@
    * Until when a first copy is expected from the source; monotonic milliseconds. The
    * same copy from a peer costs a starting daemon more than it gains.
    */
-  get copyExpectedUntil(): number {
+  get snapshotExpectedUntil(): number {
     return this.oldReadSentAt === undefined
       ? -Infinity
       : this.oldReadSentAt + COPY_PATIENCE_MS;
@@ -214,7 +214,7 @@
 
   /** When this daemon has to read, in monotonic milliseconds. */
   private nextRead(): number {
-    const {catalog, clock, turns} = this.options;
+    const {catalog, clock, election: turns} = this.options;
     if (catalog.stamp.serverRevision === 0) {
       return this.options.isPulling()
         ? this.firstReadAt + PULL_PATIENCE_MS
@@ -239,7 +239,7 @@
    * others are heard to try in vain, their success would be heard of too.
    */
   private get unconfirmedUntil(): number {
-    const {catalog, clock, turns} = this.options;
+    const {catalog, clock, election: turns} = this.options;
     const {routesConfirmedAt, serversConfirmedAt} = catalog.stamp;
     // While nothing is published, there are no routes to be confirmed.
     const confirmedAt = catalog.isComplete
@@ -252,7 +252,7 @@
 
   /** Logs when this daemon takes up, or gives up, waiting at the source for all. */
   private noteTurn(now: number): void {
-    const {turns, log} = this.options;
+    const {election: turns, log} = this.options;
     const waits = turns.isReader(now);
     if (waits !== this.waitsAtSource) {
       this.waitsAtSource = waits;
@@ -262,7 +262,7 @@
 
   /** An attempt of a daemon that is no reader is told, so that others hold back. */
   private noteAttempt(): void {
-    const {catalog, clock, turns} = this.options;
+    const {catalog, clock, election: turns} = this.options;
     const now = clock.now();
     if (catalog.stamp.serverRevision > 0 && !turns.isReader(now)) {
       turns.noteTry(now);
@@ -272,7 +272,7 @@
 
   /** How long the next call waits for events, in milliseconds. */
   private waitMs(now: number): number {
-    const {inForceLimitMs, turns} = this.options;
+    const {inForceLimitMs, election: turns} = this.options;
     if (this.options.isAlone()) {
       return inForceLimitMs * LONELY_WAIT_SHARE;
     }
@@ -304,7 +304,7 @@
   private async readOld(sentAt: number): Promise<SourceFailure | undefined> {
     const {catalog, source} = this.options;
     this.oldReadSentAt = sentAt;
-    const reading = await source.readOld(sentAt + READ_LIMIT_MS);
+    const reading = await source.readStale(sentAt + READ_LIMIT_MS);
     this.oldReadSentAt = undefined;
     return reading.match(
       read => {
@@ -352,9 +352,9 @@
     const {routes, written, unreadable = [], removed, domains} = events;
     const isEmpty =
       routes === undefined &&
-      events.keptRevision === undefined &&
+      events.snapshotRevision === undefined &&
       [written, unreadable, removed, domains].every(({length}) => length === 0);
-    this.keeper.noteWritten(events.keptRevision ?? 0);
+    this.keeper.noteWritten(events.snapshotRevision ?? 0);
     if (isEmpty) {
       catalog.confirmAll(sentAt);
     } else {
@@ -364,7 +364,7 @@
 
   /** A first read makes no reader: all daemons may start at once. */
   private noteSuccess(isFirst: boolean): void {
-    const {log, clock, turns} = this.options;
+    const {log, clock, election: turns} = this.options;
     if (this.failures > 0) {
       log.warn('source-regained', {failures: this.failures});
     }
@@ -379,14 +379,14 @@
 
   /** The first of the daemons that wait for events keeps a copy at the source. */
   private async keepCopy(isFirst: boolean): Promise<void> {
-    const {turns, clock} = this.options;
+    const {election: turns, clock} = this.options;
     if (!isFirst && turns.isFirstReader(clock.now())) {
-      await this.keeper.keep();
+      await this.keeper.write();
     }
   }
 
   private async pauseAfter(failure: SourceFailure): Promise<void> {
-    const {clock, log, random, turns} = this.options;
+    const {clock, log, random, election: turns} = this.options;
     this.needsWhole = true;
     const fields = {kind: failure.kind, cause: failure.message};
     if (failure.kind === SourceFailureKind.HISTORY_LOST) {
--- a/src/catalog/copy-giver.spec.ts
+++ b/src/catalog/catalog-transfer-limiter.spec.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {CopyGiver} from './copy-giver.js';
+import {CatalogTransferLimiter} from './catalog-transfer-limiter.js';
 
 /** 55 kB, of which a link of 14 Mbit/s takes 32 ms each. */
 const COPY = {routes: 1_400, servers: 205};
 const SLOW_MBPS = 14;
 
 test('a daemon on a slow link gives a few copies and names their takers to others', () => {
-  const giver = CopyGiver.create(SLOW_MBPS);
+  const giver = CatalogTransferLimiter.create(SLOW_MBPS);
   const answers = Array.from({length: 8}, (_asker, index) =>
     giver.referralFor(100 + index, COPY, 0),
   );
@@ -22,7 +22,7 @@
 });
 
 test('takers are named in turn, and never to themselves', () => {
-  const giver = CopyGiver.create(SLOW_MBPS);
+  const giver = CatalogTransferLimiter.create(SLOW_MBPS);
   Array.from({length: 3}, (_asker, index) =>
     giver.referralFor(1 + index, COPY, 0),
   );
@@ -39,8 +39,8 @@
 });
 
 test('small copies and copies over an ample link are given to everyone', () => {
-  const slow = CopyGiver.create(SLOW_MBPS);
-  const ample = CopyGiver.create(10_000);
+  const slow = CatalogTransferLimiter.create(SLOW_MBPS);
+  const ample = CatalogTransferLimiter.create(10_000);
   Array.from({length: 100}, (_asker, index) => {
     assert.equal(
       slow.referralFor(index, {routes: 1, servers: 20}, 0),
@@ -51,7 +51,7 @@
 });
 
 test('a link that has had time gives again', () => {
-  const giver = CopyGiver.create(SLOW_MBPS);
+  const giver = CatalogTransferLimiter.create(SLOW_MBPS);
   Array.from({length: 10}, (_asker, index) =>
     giver.referralFor(1 + index, COPY, 0),
   );
--- a/src/catalog/copy-giver.ts
+++ b/src/catalog/catalog-transfer-limiter.ts
@@ -37,7 +37,7 @@
 }
 
 /** The copies that one daemon gives. */
-export class CopyGiver {
+export class CatalogTransferLimiter {
   private takers: Taker[] = [];
   /** When the link has carried all copies given so far; monotonic milliseconds. */
   private busyUntil = -Infinity;
@@ -47,8 +47,8 @@
   private constructor(private readonly linkMbps: number) {}
 
   /** Creates the giver of a daemon whose link carries some megabits a second. */
-  static create(linkMbps: number): CopyGiver {
-    return new CopyGiver(linkMbps);
+  static create(linkMbps: number): CatalogTransferLimiter {
+    return new CatalogTransferLimiter(linkMbps);
   }
 
   /**
--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -51,7 +51,7 @@
 };
 
 /** What another daemon told of the servers that it holds. */
-export interface ToldServers {
+export interface ServerAnnouncement {
   readonly revision: number;
   readonly digest: number;
   readonly routeVersion: number;
@@ -323,7 +323,7 @@
    * Notes that another daemon, which holds the same servers, read them at a
    * time. Its revision is taken only if its routes are held here as well.
    */
-  confirmServers(told: ToldServers, at: number): void {
+  confirmServers(told: ServerAnnouncement, at: number): void {
     if (told.digest !== this.servers.digest || this.serverRevision === 0) {
       return;
     }
--- a/src/catalog/read-turns.ts
+++ b/src/catalog/reader-election.ts
@@ -10,8 +10,8 @@
  */
 import {ReadState} from '../generated/catalog.js';
 import type {Hasher} from '../ports/hasher.js';
-import {ReadMarks, type ReadMark} from './read-marks.js';
-import {placeOf, type RankedDaemon} from './reader-rank.js';
+import {ReaderStatuses, type ReaderStatus} from './reader-statuses.js';
+import {computeElectionPosition, type RankedDaemon} from './reader-rank.js';
 
 /** Daemons that wait for events at the store all the time. */
 const READERS = 2;
@@ -53,7 +53,7 @@
 const TOLD_OTHERS = 2;
 
 /** What turns are made from. */
-export interface ReadTurnsOptions {
+export interface ReaderElectionOptions {
   readonly self: RankedDaemon;
   readonly hasher: Hasher;
   /** Time in which a version has to be in force everywhere, in milliseconds. */
@@ -61,8 +61,8 @@
 }
 
 /** The turns of one daemon. */
-export class ReadTurns {
-  private readonly marks: ReadMarks;
+export class ReaderElection {
+  private readonly marks: ReaderStatuses;
   private readonly lifetimeMs: number;
   private readonly turnsMs: number;
   /** This daemon's place in the order of offers, mostly from 0 to 1. */
@@ -71,24 +71,24 @@
   private shortSince: number | undefined;
   private outOfTouchUntil = -Infinity;
 
-  private constructor(private readonly options: ReadTurnsOptions) {
+  private constructor(private readonly options: ReaderElectionOptions) {
     const {self, hasher, inForceLimitMs} = options;
     this.lifetimeMs = Math.min(
       LONGEST_LIFETIME_MS,
       inForceLimitMs * LIFETIME_SHARE,
     );
-    this.marks = ReadMarks.create(hasher, this.lifetimeMs);
+    this.marks = ReaderStatuses.create(hasher, this.lifetimeMs);
     this.turnsMs = Math.min(LONGEST_TURNS_MS, inForceLimitMs * TURNS_SHARE);
-    this.place = placeOf(self, hasher);
+    this.place = computeElectionPosition(self, hasher);
   }
 
   /** Creates the turns of a daemon that has heard of no reader. */
-  static create(options: ReadTurnsOptions): ReadTurns {
-    return new ReadTurns(options);
+  static create(options: ReaderElectionOptions): ReaderElection {
+    return new ReaderElection(options);
   }
 
   /** Takes what was told of another reader; returns what `ReadMarks.take` does. */
-  hear(mark: ReadMark, now: number): number {
+  hear(mark: ReaderStatus, now: number): number {
     return mark.reader === this.options.self.reader ? 0 : this.take(mark, now);
   }
 
@@ -156,7 +156,7 @@
   }
 
   /** The marks to tell in a beat. */
-  told(now: number): ReadMark[] {
+  selectStatusesToGossip(now: number): ReaderStatus[] {
     return [
       ...this.marks.readers(now).slice(0, TOLD_READERS),
       ...this.marks.others(now).slice(0, TOLD_OTHERS),
@@ -186,7 +186,7 @@
   }
 
   /** Takes a mark; a further reader has the turns for what is still missing begin anew. */
-  private take(mark: ReadMark, now: number): number {
+  private take(mark: ReaderStatus, now: number): number {
     const before = this.marks.readers(now).length;
     const gain = this.marks.take(mark, now);
     if (this.marks.readers(now).length > before) {
--- a/src/catalog/reader-rank.spec.ts
+++ b/src/catalog/reader-rank.spec.ts
@@ -2,7 +2,11 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
-import {orderReaders, placeOf, type RankedDaemon} from './reader-rank.js';
+import {
+  orderReaders,
+  computeElectionPosition,
+  type RankedDaemon,
+} from './reader-rank.js';
 
 const hasher = await XxhashHasher.create();
 
@@ -49,7 +53,7 @@
 /** Places of a fleet of ample daemons, the first first. */
 function placesOf(daemons: number): number[] {
   return Array.from({length: daemons}, (_daemon, index) =>
-    placeOf(
+    computeElectionPosition(
       {reader: 0x0a000001 + index, failureDomain: 'a', capacity: 500},
       hasher,
     ),
--- a/src/catalog/reader-rank.ts
+++ b/src/catalog/reader-rank.ts
@@ -50,7 +50,10 @@
  * alike, by about a tenth, and no matter how many come after them (exponentially
  * distributed timers, as multicast feedback is suppressed).
  */
-export function placeOf(daemon: RankedDaemon, hasher: Hasher): number {
+export function computeElectionPosition(
+  daemon: RankedDaemon,
+  hasher: Hasher,
+): number {
   const share = (hashOf(daemon, hasher) + 1) / HASH_RANGE;
   const place = 1 + Math.log(share) / Math.log(LARGEST_FLEET);
   return Math.max(0, place) + scarcityOf(daemon) / (2 * SCARCE_STEPS);
--- a/src/catalog/read-marks.ts
+++ b/src/catalog/reader-statuses.ts
@@ -20,7 +20,7 @@
 const DRIFT_MS = 150;
 
 /** How one daemon stands with the store. */
-export interface ReadMark {
+export interface ReaderStatus {
   /** IPv4 address as an unsigned number. */
   readonly reader: number;
   readonly failureDomain: string;
@@ -32,8 +32,8 @@
 }
 
 /** The marks that one daemon knows. */
-export class ReadMarks {
-  private readonly marks = new Map<number, ReadMark>();
+export class ReaderStatuses {
+  private readonly marks = new Map<number, ReaderStatus>();
 
   private constructor(
     private readonly hasher: Hasher,
@@ -42,15 +42,15 @@
   ) {}
 
   /** Creates a record without marks. */
-  static create(hasher: Hasher, lifetimeMs: number): ReadMarks {
-    return new ReadMarks(hasher, lifetimeMs);
+  static create(hasher: Hasher, lifetimeMs: number): ReaderStatuses {
+    return new ReaderStatuses(hasher, lifetimeMs);
   }
 
   /**
    * Takes a mark; returns by how many milliseconds it is newer than what was known of
    * its reader, 0 if it is not. Another state than was known counts as Infinity.
    */
-  take(mark: ReadMark, now: number): number {
+  take(mark: ReaderStatus, now: number): number {
     const known = this.marks.get(mark.reader);
     if (known !== undefined && !isNewer(mark, known)) {
       return 0;
@@ -61,7 +61,7 @@
   }
 
   /** Daemons that read, the first in rank first. */
-  readers(now: number): ReadMark[] {
+  readers(now: number): ReaderStatus[] {
     const reading = [...this.marks.values()].filter(
       ({state, at}) =>
         state === ReadState.READ_DONE && now - at <= this.lifetimeMs,
@@ -70,7 +70,7 @@
   }
 
   /** Daemons that have ceased to read, or try to and may not succeed; newest first. */
-  others(now: number): ReadMark[] {
+  others(now: number): ReaderStatus[] {
     return [...this.marks.values()]
       .filter(
         ({state, at}) =>
@@ -93,7 +93,7 @@
 }
 
 /** Of two marks of one attempt, the one that says how it ended is newer. */
-function isNewer(mark: ReadMark, known: ReadMark): boolean {
+function isNewer(mark: ReaderStatus, known: ReaderStatus): boolean {
   if (Math.abs(mark.at - known.at) > DRIFT_MS) {
     return mark.at > known.at;
   }
--- a/src/catalog/records.ts
+++ b/src/catalog/records.ts
@@ -101,7 +101,7 @@
   /** Domains that were evacuated or restored, the newest change of each last. */
   readonly domains: readonly DomainChange[];
   /** Revision at which the kept copy was last written; undefined: not since then. */
-  readonly keptRevision?: number;
+  readonly snapshotRevision?: number;
 }
 
 /** What the operators state of a service whose cold servers take little. */
--- a/src/catalog/first-copy.ts
+++ b/src/catalog/snapshot-reader.ts
@@ -10,7 +10,7 @@
 } from '../ports/catalog-source.js';
 import type {Clock} from '../ports/clock.js';
 import type {Log} from '../ports/log.js';
-import {decodeWhole} from './catalog-messages.js';
+import {decodeSnapshot} from './catalog-messages.js';
 
 /** Length of a long published list, in kilobits: 250 routes and 105 servers. */
 const LONG_LIST_KILOBITS = 1_200;
@@ -18,7 +18,7 @@
 const WORTHWHILE_MS = 5;
 
 /** What a kept copy is read with. */
-export interface FirstCopyOptions {
+export interface SnapshotReaderOptions {
   readonly source: CatalogSource;
   readonly clock: Clock;
   readonly log: Log;
@@ -27,12 +27,12 @@
 }
 
 /** Reads the kept copy for one daemon that starts. */
-export class FirstCopy {
-  private constructor(private readonly options: FirstCopyOptions) {}
+export class SnapshotReader {
+  private constructor(private readonly options: SnapshotReaderOptions) {}
 
   /** Creates a reader of the kept copy. */
-  static create(options: FirstCopyOptions): FirstCopy {
-    return new FirstCopy(options);
+  static create(options: SnapshotReaderOptions): SnapshotReader {
+    return new SnapshotReader(options);
   }
 
   /** Whether it is worth a call: on an ample link the published list is as fast. */
@@ -48,10 +48,10 @@
     deadline: number,
   ): ResultAsync<CatalogReading | undefined, SourceFailure> {
     const {source, clock, log} = this.options;
-    return source.readKept(deadline).map(copy =>
+    return source.readSnapshot(deadline).map(copy =>
       copy === undefined
         ? undefined
-        : decodeWhole(copy.bytes, clock.now()).match(
+        : decodeSnapshot(copy.bytes, clock.now()).match(
             reading => reading,
             cause => {
               log.warn('kept-copy-unreadable', {cause});
--- a/src/catalog/copy-keeper.spec.ts
+++ b/src/catalog/snapshot-writer.spec.ts
@@ -9,11 +9,11 @@
   SourceFailure,
   SourceFailureKind,
   type CatalogSource,
-  type KeepOutcome,
+  type SnapshotWriteOutcome,
 } from '../ports/catalog-source.js';
-import {decodeWhole} from './catalog-messages.js';
+import {decodeSnapshot} from './catalog-messages.js';
 import {Catalog} from './catalog.js';
-import {CopyKeeper} from './copy-keeper.js';
+import {SnapshotWriter} from './snapshot-writer.js';
 
 const hasher = await XxhashHasher.create();
 /** As many as make a published list of 30 kB and more. */
@@ -22,7 +22,7 @@
 type Keep = (
   bytes: Uint8Array,
   revision: number,
-) => ResultAsync<KeepOutcome, SourceFailure>;
+) => ResultAsync<SnapshotWriteOutcome, SourceFailure>;
 
 /** A keeper of a list of servers whose writes end as a function says. */
 function createKeeper(servers: number, write: Keep) {
@@ -43,7 +43,7 @@
   const routes = [createRoute('pay', {address: 1, port: 443, targetMs: 422})];
   catalog.takeRoutes({version: 3, routes, coldServices: []}, 0);
   take(servers, 10);
-  const keeper = CopyKeeper.create({
+  const keeper = SnapshotWriter.create({
     catalog,
     clock,
     log: MemoryLog.create('d0'),
@@ -64,19 +64,19 @@
 
 test('a long list is kept once, and again when it has changed', async () => {
   const {clock, keeper, written, take} = createKeeper(MANY_SERVERS, done(11));
-  await keeper.keep();
-  await keeper.keep();
+  await keeper.write();
+  await keeper.write();
   await clock.advance(60_000);
-  await keeper.keep();
+  await keeper.write();
   assert.equal(written.length, 1);
-  const reading = decodeWhole(written[0].bytes, 0)._unsafeUnwrap();
+  const reading = decodeSnapshot(written[0].bytes, 0)._unsafeUnwrap();
   assert.equal(reading.routes?.version, 3);
   assert.equal(reading.routes?.routes[0].targetMs, 422);
   assert.equal(reading.servers.revision, 10);
   assert.equal(reading.servers.servers.length, MANY_SERVERS);
   assert.deepEqual(reading.servers.evacuated, ['a']);
   take(MANY_SERVERS + 1, 12);
-  await keeper.keep();
+  await keeper.write();
   assert.deepEqual(
     written.map(({expected}) => expected),
     [0, 11],
@@ -89,7 +89,7 @@
     async (before, _step, index) => {
       await before;
       take(MANY_SERVERS + (index % 7), 20 + index);
-      await keeper.keep();
+      await keeper.write();
       await clock.advance(100);
     },
     Promise.resolve(),
@@ -99,7 +99,7 @@
 
 test('a short list is not kept', async () => {
   const {keeper, written} = createKeeper(13, done(11));
-  await keeper.keep();
+  await keeper.write();
   assert.equal(written.length, 0);
 });
 
@@ -107,9 +107,9 @@
   const {keeper, written} = createKeeper(MANY_SERVERS, (_bytes, expected) =>
     okAsync({isDone: expected === 40, revision: 40}),
   );
-  await keeper.keep();
-  await keeper.keep();
-  await keeper.keep();
+  await keeper.write();
+  await keeper.write();
+  await keeper.write();
   assert.deepEqual(
     written.map(({expected}) => expected),
     [0, 40],
@@ -118,13 +118,13 @@
 
 test('a write of another daemon has this one write again, later ones do not count', async () => {
   const {clock, keeper, written} = createKeeper(MANY_SERVERS, done(11));
-  await keeper.keep();
+  await keeper.write();
   keeper.noteWritten(11);
   await clock.advance(5_000);
-  await keeper.keep();
+  await keeper.write();
   assert.equal(written.length, 1);
   keeper.noteWritten(15);
-  await keeper.keep();
+  await keeper.write();
   assert.deepEqual(written[1].expected, 15);
 });
 
@@ -133,16 +133,16 @@
   const {clock, keeper, written} = createKeeper(MANY_SERVERS, () =>
     errAsync(failure),
   );
-  await keeper.keep();
-  await keeper.keep();
+  await keeper.write();
+  await keeper.write();
   assert.equal(written.length, 1);
   await clock.advance(2_500);
-  await keeper.keep();
+  await keeper.write();
   assert.equal(written.length, 2);
 });
 
 test('bytes that are no whole copy are told from one', () => {
   const noise = Uint8Array.from({length: 300}, (_byte, index) => index * 7);
-  assert.ok(decodeWhole(noise, 0).isErr());
-  assert.ok(decodeWhole(new Uint8Array(0), 0).isErr());
+  assert.ok(decodeSnapshot(noise, 0).isErr());
+  assert.ok(decodeSnapshot(new Uint8Array(0), 0).isErr());
 });
--- a/src/catalog/copy-keeper.ts
+++ b/src/catalog/snapshot-writer.ts
@@ -11,7 +11,7 @@
 import type {CatalogSource} from '../ports/catalog-source.js';
 import type {Clock} from '../ports/clock.js';
 import type {Log} from '../ports/log.js';
-import {encodeWhole} from './catalog-messages.js';
+import {encodeSnapshot} from './catalog-messages.js';
 import type {Catalog} from './catalog.js';
 
 /** Length of what a route and a server take in the published list, in bytes. */
@@ -36,7 +36,7 @@
 }
 
 /** What a keeper is made from. */
-export interface CopyKeeperOptions {
+export interface SnapshotWriterOptions {
   readonly catalog: Catalog;
   readonly source: CatalogSource;
   readonly clock: Clock;
@@ -44,7 +44,7 @@
 }
 
 /** Keeps the copy up to date, where this daemon is the one to do it. */
-export class CopyKeeper {
+export class SnapshotWriter {
   /** Revision at which the copy was last written, as far as is known; 0: never. */
   private revision = 0;
   /** What this daemon wrote last; undefined once another one wrote. */
@@ -52,11 +52,11 @@
   /** Monotonic milliseconds before which nothing is written again. */
   private writeFrom = -Infinity;
 
-  private constructor(private readonly options: CopyKeeperOptions) {}
+  private constructor(private readonly options: SnapshotWriterOptions) {}
 
   /** Creates a keeper that knows of no copy. */
-  static create(options: CopyKeeperOptions): CopyKeeper {
-    return new CopyKeeper(options);
+  static create(options: SnapshotWriterOptions): SnapshotWriter {
+    return new SnapshotWriter(options);
   }
 
   /** Notes that the copy was written at a revision, by this daemon or another one. */
@@ -68,20 +68,20 @@
   }
 
   /** Writes what the catalog holds, if the kept copy is another and it is time. */
-  async keep(): Promise<void> {
+  async write(): Promise<void> {
     const {catalog, source, clock, log} = this.options;
     const now = clock.now();
     const held = versionsOf(catalog);
     if (now < this.writeFrom || isEqual(held, this.kept) || !isLong(catalog)) {
       return;
     }
-    const bytes = encodeWhole(catalog, now);
+    const bytes = encodeSnapshot(catalog, now);
     this.writeFrom = now + WRITE_GAP_MS;
     if (bytes.length > LONGEST_COPY_BYTES) {
       return;
     }
     const deadline = now + WRITE_LIMIT_MS;
-    const written = await source.keep(bytes, this.revision, deadline);
+    const written = await source.writeSnapshot(bytes, this.revision, deadline);
     written.match(
       ({isDone, revision}) => {
         this.revision = revision;
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -3,9 +3,9 @@
  * all others where their cookies say, and shares a catalog with its peers.
  */
 import {Catalog, type CatalogChange} from '../catalog/catalog.js';
-import {ReadTurns} from '../catalog/read-turns.js';
-import {CatalogReader} from '../catalog/reader.js';
-import {CatalogSpread} from '../catalog/spread.js';
+import {ReaderElection} from '../catalog/reader-election.js';
+import {CatalogReader} from '../catalog/catalog-reader.js';
+import {CatalogGossip} from '../catalog/catalog-gossip.js';
 import {EqualRatings} from '../feedback/server-ratings.js';
 import type {PeerAge} from '../generated/catalog.js';
 import {PeerView} from '../membership/peer-view.js';
@@ -52,8 +52,8 @@
   private readonly work: ServerWorkLedger;
   private readonly placement: Placement;
   private readonly router: CookieRouter;
-  private readonly spread: CatalogSpread;
-  private readonly turns: ReadTurns;
+  private readonly spread: CatalogGossip;
+  private readonly turns: ReaderElection;
   private readonly reach: ServerReachability;
   private readonly reader: CatalogReader;
   private readonly packets: PacketTask;
@@ -223,10 +223,10 @@
     });
   }
 
-  private createTurns(): ReadTurns {
+  private createTurns(): ReaderElection {
     const {settings, hasher} = this.options;
     const {address, failureDomain, capacity, inForceLimitMs} = settings;
-    return ReadTurns.create({
+    return ReaderElection.create({
       self: {reader: address, failureDomain, capacity},
       hasher,
       inForceLimitMs,
@@ -271,12 +271,12 @@
     });
   }
 
-  private createSpread(): CatalogSpread {
+  private createSpread(): CatalogGossip {
     const {channel, clock, log, random, settings} = this.options;
-    return CatalogSpread.create({
+    return CatalogGossip.create({
       catalog: this.catalog,
       peers: this.peers,
-      turns: this.turns,
+      election: this.turns,
       reach: this.reach,
       channel,
       clock,
@@ -285,10 +285,13 @@
       linkMbps: settings.linkMbps,
       seeds: () => this.seeds,
       self: () => this.self(),
-      workToTell: isLarge =>
-        this.work.toTell(clock.now(), isLarge || !this.placement.usesPeerWork),
-      copyExpectedUntil: () => this.reader.copyExpectedUntil,
-      onTurns: () => this.reader.lookAgain(),
+      selectLoadToGossip: isLarge =>
+        this.work.selectLoadToGossip(
+          clock.now(),
+          isLarge || !this.placement.usesPeerWork,
+        ),
+      snapshotExpectedUntil: () => this.reader.snapshotExpectedUntil,
+      onElectionChange: () => this.reader.lookAgain(),
       onWork: (sender, work) => this.work.receive(sender, work, clock.now()),
     });
   }
@@ -301,7 +304,7 @@
       clock,
       log,
       random,
-      turns: this.turns,
+      election: this.turns,
       isFirstStart: settings.isFirstStart,
       linkMbps: settings.linkMbps,
       inForceLimitMs: settings.inForceLimitMs,
--- a/src/entry/start.spec.ts
+++ b/src/entry/start.spec.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
-import {encodeWhole} from '../catalog/catalog-messages.js';
+import {encodeSnapshot} from '../catalog/catalog-messages.js';
 import type {EntryDaemon} from './entry-daemon.js';
 import {OutageKind, STORE_LINK} from '../../standins/catalog-store.js';
 import {CookieWorld} from '../../standins/cookie-world.js';
@@ -231,7 +231,7 @@
     await XxhashHasher.create(),
   );
   await world.clock.advance(3_000);
-  assert.ok(world.store.kept !== undefined);
+  assert.ok(world.store.snapshot !== undefined);
   [...world.daemons.keys()].forEach(name => world.killDaemon(name));
   world.publish([...routes, DOCS]);
   await world.clock.advance(1_000);
@@ -244,7 +244,7 @@
 
 test('a kept copy that cannot be read costs a start nothing but the call', async () => {
   const world = await createKilledFleet(3, [7]);
-  world.store.keep(Uint8Array.of(1, 2, 3), 0);
+  world.store.writeSnapshot(Uint8Array.of(1, 2, 3), 0);
   await startAll(world);
   await world.clock.advance(1_500);
   assert.deepEqual(versionsOf(world), [2, 2, 2]);
@@ -254,7 +254,7 @@
   const world = await createKilledFleet(3, [7]);
   const {catalog} = await startOne(world);
   world.killDaemon('d0');
-  world.store.keep(encodeWhole(catalog, 0), 0);
+  world.store.writeSnapshot(encodeSnapshot(catalog, 0), 0);
   world.publish([PAY]);
   world.store.forgetHistory();
   await startAll(world);
--- a/src/index.ts
+++ b/src/index.ts
@@ -76,8 +76,14 @@
 // Routes and servers shared by a fleet, and routing by cookies
 export {Catalog, type CatalogOptions} from './catalog/catalog.js';
 export {type KnownRoute} from './catalog/route-table.js';
-export {CatalogReader, type ReaderOptions} from './catalog/reader.js';
-export {CatalogSpread, type SpreadOptions} from './catalog/spread.js';
+export {
+  CatalogReader,
+  type CatalogReaderOptions as ReaderOptions,
+} from './catalog/catalog-reader.js';
+export {
+  CatalogGossip as CatalogSpread,
+  type CatalogGossipOptions as SpreadOptions,
+} from './catalog/catalog-gossip.js';
 export type {
   CatalogEvents,
   CatalogRoute,
--- a/src/membership/peer-view.spec.ts
+++ b/src/membership/peer-view.spec.ts
@@ -61,7 +61,7 @@
 function passRounds(view: PeerView, from: number, rounds: number) {
   return Array.from({length: rounds}, (_round, index) => {
     const now = from + index * ROUND_MS;
-    view.toGreet(now).forEach(peer => view.noteGreeted(peer, now));
+    view.selectPeersToPing(now).forEach(peer => view.recordPing(peer, now));
     return view.takeLost(now).map(({address}) => ({address, now}));
   }).flat();
 }
@@ -126,7 +126,7 @@
   const leavingAt = (now: number) =>
     view.leaving(now).map(({address}) => address);
   assert.deepEqual(leavingAt(5_000), [7]);
-  assert.ok(view.told(5_000).some(({address}) => address === 7));
+  assert.ok(view.selectPeersToGossip(5_000).some(({address}) => address === 7));
   assert.deepEqual(leavingAt(9_000), []);
   view.merge(told(7, 0), 5_100);
   assert.deepEqual(leavingAt(5_100), []);
@@ -144,7 +144,7 @@
   Array.from({length: 300}, (_peer, index) =>
     view.merge(told(index + 2, 0), 0),
   );
-  const addresses = view.told(0).map(({address}) => address);
+  const addresses = view.selectPeersToGossip(0).map(({address}) => address);
   assert.equal(addresses.length, 8);
   assert.equal(new Set(addresses).size, 8);
 });
--- a/src/membership/peer-view.ts
+++ b/src/membership/peer-view.ts
@@ -10,7 +10,7 @@
  */
 import type {PeerAge} from '../generated/catalog.js';
 import type {Random} from '../routing/random.js';
-import {Greetings} from './greetings.js';
+import {PendingPings} from './pending-pings.js';
 import {LIVE_AGE_MS, isLive, type PeerDaemon} from './peer-daemon.js';
 
 /** Silence after which a peer is forgotten, in milliseconds. */
@@ -56,7 +56,7 @@
   /** Peers of the own failure domain that leave or have left, until they are back. */
   private readonly leavers = new Map<number, PeerDaemon>();
   private readonly lost = new Map<number, PeerDaemon>();
-  private readonly greetings = Greetings.create();
+  private readonly greetings = PendingPings.create();
   /** Whether a peer ever gave way to another one. */
   private isPartial = false;
 
@@ -122,12 +122,12 @@
   }
 
   /** Notes that a peer is greeted now; it answers at once if it can. */
-  noteGreeted(peer: PeerDaemon, now: number): void {
+  recordPing(peer: PeerDaemon, now: number): void {
     this.greetings.note(peer, now);
   }
 
   /** Peers to greet in this round: those that owe an answer, and silent ones. */
-  toGreet(now: number): PeerDaemon[] {
+  selectPeersToPing(now: number): PeerDaemon[] {
     const quiet = this.quiet(now).filter(
       ({address}) => !this.greetings.isOwing(address),
     );
@@ -146,7 +146,7 @@
   }
 
   /** Ages to tell in the next beat: all of a small fleet, some of a large one. */
-  told(now: number): PeerAge[] {
+  selectPeersToGossip(now: number): PeerAge[] {
     this.forget(now);
     const leaving = this.sample(this.leaving(now), TOLD_LEAVING);
     const live = this.live(now).filter(
@@ -157,7 +157,7 @@
   }
 
   /** Ages to tell a daemon that has no copy: who has one, and whom to know. */
-  toldToSeeker(now: number): PeerAge[] {
+  selectPeersForBootstrap(now: number): PeerAge[] {
     const live = this.live(now).filter(({leaving}) => !leaving);
     const having = live.filter(({hasCopy}) => hasCopy);
     const others = live.filter(({hasCopy}) => !hasCopy);
--- a/src/membership/greetings.ts
+++ b/src/membership/pending-pings.ts
@@ -16,14 +16,14 @@
 }
 
 /** The greetings of one daemon. */
-export class Greetings {
+export class PendingPings {
   private readonly unanswered = new Map<number, Unanswered>();
 
   private constructor() {}
 
   /** Creates a record without greetings. */
-  static create(): Greetings {
-    return new Greetings();
+  static create(): PendingPings {
+    return new PendingPings();
   }
 
   /** Notes that a peer was greeted at `now` (monotonic milliseconds). */
--- a/src/ports/catalog-source.ts
+++ b/src/ports/catalog-source.ts
@@ -54,14 +54,14 @@
 }
 
 /** Bytes that daemons keep at the source for daemons that start. */
-export interface KeptCopy {
+export interface CatalogSnapshot {
   readonly bytes: Uint8Array;
   /** Revision of the source at which they were written. */
   readonly revision: number;
 }
 
 /** What became of a write of the kept copy. */
-export interface KeepOutcome {
+export interface SnapshotWriteOutcome {
   /** Whether it was done; else the kept copy had another revision than expected. */
   readonly isDone: boolean;
   /** Revision at which the kept copy was last written; 0: there is none. */
@@ -81,7 +81,7 @@
    * Reads everything as it was at some moment of late, which may lie seconds back, at
    * a fraction of the price. The revision in it is that of the same moment.
    */
-  abstract readOld(
+  abstract readStale(
     deadline: number,
   ): ResultAsync<CatalogReading, SourceFailure>;
   /**
@@ -96,18 +96,18 @@
    * Reads the kept copy as it was at some moment of late, at a fraction of the price;
    * undefined when there is none.
    */
-  abstract readKept(
+  abstract readSnapshot(
     deadline: number,
-  ): ResultAsync<KeptCopy | undefined, SourceFailure>;
+  ): ResultAsync<CatalogSnapshot | undefined, SourceFailure>;
   /**
    * Keeps a copy in place of the one that was written at a revision (0: of none). If
    * another daemon wrote since, nothing changes.
    */
-  abstract keep(
+  abstract writeSnapshot(
     bytes: Uint8Array,
     expectedRevision: number,
     deadline: number,
-  ): ResultAsync<KeepOutcome, SourceFailure>;
+  ): ResultAsync<SnapshotWriteOutcome, SourceFailure>;
   /** Closes all connections. */
   abstract close(): void;
 }
--- a/src/ports/fleet-channel.ts
+++ b/src/ports/fleet-channel.ts
@@ -16,7 +16,7 @@
 /** What a daemon does with what its peers send. */
 export interface FleetHandlers {
   /** Takes a beat of the daemon at `sender` (IPv4 address as a number). */
-  onBeat(sender: number, beat: Beat): void;
+  onHeartbeat(sender: number, beat: Beat): void;
   /** Answers a daemon that holds what the question says. */
   onPull(held: HeldVersions): CatalogUpdate;
 }
@@ -26,7 +26,7 @@
   /** Installs the handlers and starts to receive. */
   abstract serve(handlers: FleetHandlers): Promise<void>;
   /** Sends a beat, which may be lost. */
-  abstract beat(address: number, beat: Beat): void;
+  abstract sendHeartbeat(address: number, beat: Beat): void;
   /** Fetches what a peer holds beyond what is held here. */
   abstract pull(
     address: number,
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -177,8 +177,8 @@
   }
 
   /** Findings to tell in a beat. */
-  told(now: number): ReachFinding[] {
-    return this.known.told(now);
+  selectFindingsToGossip(now: number): ReachFinding[] {
+    return this.known.selectFindingsToGossip(now);
   }
 
   /** Takes changes of the list of servers. */
--- a/src/reachability/unreachable-servers.spec.ts
+++ b/src/reachability/unreachable-servers.spec.ts
@@ -47,8 +47,8 @@
   Array.from({length: 2_000}, (_server, index) =>
     servers.take(silentAt(`s-${index}`, index), index),
   );
-  assert.equal(servers.told(2_000).length, 40);
-  assert.deepEqual(servers.told(2_000)[0].server, 's-1999');
+  assert.equal(servers.selectFindingsToGossip(2_000).length, 40);
+  assert.deepEqual(servers.selectFindingsToGossip(2_000)[0].server, 's-1999');
   assert.ok(servers.all(2_000).length <= 512);
-  assert.deepEqual(servers.told(6_000), []);
+  assert.deepEqual(servers.selectFindingsToGossip(6_000), []);
 });
--- a/src/reachability/unreachable-servers.ts
+++ b/src/reachability/unreachable-servers.ts
@@ -98,7 +98,7 @@
   }
 
   /** Findings to tell in a beat, the newest first. */
-  told(now: number): ReachFinding[] {
+  selectFindingsToGossip(now: number): ReachFinding[] {
     return [...this.findings.values()]
       .filter(({at}) => now - at <= TOLD_MS)
       .sort((a, b) => b.at - a.at)
--- a/src/routing/server-work.spec.ts
+++ b/src/routing/server-work.spec.ts
@@ -15,7 +15,7 @@
   one.count('s', 1);
   two.count('s', 1);
   two.count('s', 1);
-  one.receive(2, two.toTell(0, false), 0);
+  one.receive(2, two.selectLoadToGossip(0, false), 0);
   assert.equal(one.unfinished('s', 100), 3);
   assert.equal(one.ownUnfinished('s'), 1);
   assert.equal(one.unfinished('s', 2_000), 1);
@@ -39,8 +39,8 @@
   const ledger = createLedger();
   ledger.count('busy', 1);
   ledger.noteUnanswered('mute', 0);
-  assert.equal(ledger.toTell(0, false).length, 2);
-  const silent = ledger.toTell(0, true);
+  assert.equal(ledger.selectLoadToGossip(0, false).length, 2);
+  const silent = ledger.selectLoadToGossip(0, true);
   assert.deepEqual(
     silent.map(({silent: isSilent}) => isSilent),
     [true],
--- a/src/routing/server-work.ts
+++ b/src/routing/server-work.ts
@@ -156,7 +156,7 @@
   }
 
   /** What to tell the peers: all work, or silent servers alone. */
-  toTell(now: number, onlySilent: boolean): ServerWork[] {
+  selectLoadToGossip(now: number, onlySilent: boolean): ServerWork[] {
     return [...this.sights]
       .filter(
         ([, {unfinished, avoidUntil}]) =>
--- a/standins/catalog-store.ts
+++ b/standins/catalog-store.ts
@@ -15,8 +15,8 @@
   SourceFailure,
   SourceFailureKind,
   type CatalogReading,
-  type KeepOutcome,
-  type KeptCopy,
+  type SnapshotWriteOutcome,
+  type CatalogSnapshot,
 } from '../src/ports/catalog-source.js';
 import type {Clock} from '../src/ports/clock.js';
 import type {MemoryLinks} from './memory-links.js';
@@ -66,7 +66,7 @@
   /** Milliseconds until an answer leaves. */
   answerMs = ANSWER_MS;
   /** The copy that daemons keep for daemons that start. */
-  kept: KeptCopy | undefined;
+  snapshot: CatalogSnapshot | undefined;
   private revision = 1;
   private routes: RouteListing | undefined;
   private readonly servers = new Map<string, CatalogServer>();
@@ -131,14 +131,17 @@
   }
 
   /** Keeps a copy in place of the one that was written at a revision. */
-  keep(bytes: Uint8Array, expectedRevision: number): KeepOutcome {
-    const known = this.kept?.revision ?? 0;
+  writeSnapshot(
+    bytes: Uint8Array,
+    expectedRevision: number,
+  ): SnapshotWriteOutcome {
+    const known = this.snapshot?.revision ?? 0;
     if (known !== expectedRevision) {
       return {isDone: false, revision: known};
     }
     this.keepOld();
     this.revision += 1;
-    this.kept = {bytes, revision: this.revision};
+    this.snapshot = {bytes, revision: this.revision};
     this.note({revision: this.revision, kept: true});
     return {isDone: true, revision: this.revision};
   }
@@ -182,7 +185,7 @@
   }
 
   /** Everything as it was `lagMs` ago. */
-  readOld(): CatalogReading {
+  readStale(): CatalogReading {
     const at = this.clock.now() - this.lagMs;
     return this.left.find(({until}) => until > at)?.reading ?? this.read();
   }
@@ -202,7 +205,7 @@
         removed === undefined ? [] : [{id: removed, revision: at}],
       ),
       domains: events.flatMap(({domain}) => domain ?? []),
-      keptRevision: events.filter(({kept}) => kept).pop()?.revision,
+      snapshotRevision: events.filter(({kept}) => kept).pop()?.revision,
     };
   }
 
@@ -293,30 +296,35 @@
     );
   }
 
-  readOld(deadline: number): ResultAsync<CatalogReading, SourceFailure> {
+  readStale(deadline: number): ResultAsync<CatalogReading, SourceFailure> {
     const limit = Math.min(deadline, this.clock.now() + SILENCE_LIMIT_MS);
     const call = this.call(OLD_READ, limit, async () =>
-      ok(this.store.readOld()),
+      ok(this.store.readStale()),
     );
     return new ResultAsync(call).andThen(reading =>
       this.transfer(reading, sizeOf(reading)),
     );
   }
 
-  readKept(deadline: number): ResultAsync<KeptCopy | undefined, SourceFailure> {
+  readSnapshot(
+    deadline: number,
+  ): ResultAsync<CatalogSnapshot | undefined, SourceFailure> {
     const limit = Math.min(deadline, this.clock.now() + SILENCE_LIMIT_MS);
-    const call = this.call(OLD_READ, limit, async () => ok(this.store.kept));
+    const call = this.call(OLD_READ, limit, async () =>
+      ok(this.store.snapshot),
+    );
     return new ResultAsync(call).andThen(copy =>
       this.transfer(copy, copy?.bytes.length ?? 0),
     );
   }
 
-  keep(
+  writeSnapshot(
     bytes: Uint8Array,
     expectedRevision: number,
     deadline: number,
-  ): ResultAsync<KeepOutcome, SourceFailure> {
-    const write = async () => ok(this.store.keep(bytes, expectedRevision));
+  ): ResultAsync<SnapshotWriteOutcome, SourceFailure> {
+    const write = async () =>
+      ok(this.store.writeSnapshot(bytes, expectedRevision));
     return new ResultAsync(this.call('keep', deadline, write));
   }
 
--- a/standins/memory-channel.ts
+++ b/standins/memory-channel.ts
@@ -88,7 +88,7 @@
   }
 
   /** Beats travel as bytes, so that nothing is shared between daemons. */
-  beat(address: number, beat: Beat): void {
+  sendHeartbeat(address: number, beat: Beat): void {
     const {network} = this;
     const bytes = Beat.encode(beat).finish();
     network.sent.beats += 1;
@@ -97,7 +97,9 @@
       return;
     }
     network.clock.callAt(network.clock.now() + WAY_MS, () => {
-      network.handlersOf(address)?.onBeat(this.address, Beat.decode(bytes));
+      network
+        .handlersOf(address)
+        ?.onHeartbeat(this.address, Beat.decode(bytes));
     });
   }
 
