--- a/src/catalog/catalog.spec.ts
+++ b/src/catalog/catalog.spec.ts
@@ -53,10 +53,10 @@
   const old = serverOf('i-1', 1, {address: 7});
   const next = serverOf('i-2', 2, {address: 7, service: 'docs'});
   catalog.takeServers({revision: 1, servers: [old], evacuated: []}, 0);
-  assert.equal(catalog.isGone(old), false);
+  assert.equal(catalog.hasEnded(old), false);
   catalog.takeServers({revision: 2, servers: [old, next], evacuated: []}, 500);
-  assert.equal(catalog.isGone(old), true);
-  assert.equal(catalog.isGone(next), false);
+  assert.equal(catalog.hasEnded(old), true);
+  assert.equal(catalog.hasEnded(next), false);
   assert.deepEqual(openIds(catalog), []);
 });
 
--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -6,7 +6,7 @@
 import type {Hasher} from '../ports/hasher.js';
 import {destinationKey} from '../routing/flow-key.js';
 import {KnownServers} from './known-servers.js';
-import type {ListingChange, ServerNews} from './listing-change.js';
+import type {ListingChange, AffectedServers} from './listing-change.js';
 import type {
   CatalogEvents,
   CatalogServer,
@@ -28,7 +28,7 @@
 const UNSETTLED_MS = 1_000;
 
 /** What changed in the catalog. */
-export interface CatalogChange extends ServerNews {
+export interface CatalogChange extends AffectedServers {
   /** The version taken; undefined when the routes did not change. */
   readonly routeVersion?: number;
   /** Whether these are the first servers that were ever taken. */
@@ -224,13 +224,13 @@
   }
 
   /** Whether a server that lives would surely be in the list by now. */
-  get isSteady(): boolean {
-    return this.servers.isSteady;
+  get isAuthoritative(): boolean {
+    return this.servers.isAuthoritative;
   }
 
   /** Whether a server has ended for certain. */
-  isGone(server: CatalogServer): boolean {
-    return this.servers.isGone(server.id);
+  hasEnded(server: CatalogServer): boolean {
+    return this.servers.hasEnded(server.id);
   }
 
   /**
--- a/src/catalog/departures.ts
+++ b/src/catalog/departed-servers.ts
@@ -41,7 +41,7 @@
 }
 
 /** The departed servers of one daemon. */
-export class Departures {
+export class DepartedServers {
   private readonly departures = new Map<string, Departure>();
   /**
    * Ids of entries that went and were never readable here, and when they may be
@@ -62,8 +62,8 @@
   ) {}
 
   /** Creates an empty record. */
-  static create(flowLifetimeMs: number): Departures {
-    return new Departures(flowLifetimeMs);
+  static create(flowLifetimeMs: number): DepartedServers {
+    return new DepartedServers(flowLifetimeMs);
   }
 
   /**
@@ -94,7 +94,7 @@
    * Whether reads without a gap go back further than a server may serve on after its
    * entry went.
    */
-  get isSteady(): boolean {
+  get isAuthoritative(): boolean {
     return this.confirmedAt - this.steadySince >= QUIET_LEAVE_MS;
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Servers whose end became certain since this was asked last. */
-  takeGone(): CatalogServer[] {
+  takeEnded(): CatalogServer[] {
     const gone = this.newlyGone;
     this.newlyGone = [];
     return gone;
@@ -155,12 +155,12 @@
   }
 
   /** Whether the server's end is certain. */
-  isGone(id: string): boolean {
+  hasEnded(id: string): boolean {
     return this.departures.get(id)?.gone === true;
   }
 
   /** Servers that may live on although their entries lapsed. */
-  lapsed(): readonly CatalogServer[] {
+  listExpired(): readonly CatalogServer[] {
     this.lapsedNow ??= [...this.departures.values()]
       .filter(({gone, mayHaveLapsed}) => mayHaveLapsed && !gone)
       .map(({server}) => server);
--- a/src/catalog/known-servers.ts
+++ b/src/catalog/known-servers.ts
@@ -4,12 +4,12 @@
  */
 import type {Hasher} from '../ports/hasher.js';
 import {CookieIndex} from './cookie-index.js';
-import {Departures} from './departures.js';
+import {DepartedServers} from './departed-servers.js';
 import {
   changesOfDomains,
   changesTo,
   type ListingChange,
-  type ServerNews,
+  type AffectedServers,
 } from './listing-change.js';
 import type {
   CatalogServer,
@@ -34,13 +34,13 @@
   /** The cookies of all of them, and where the flows of each go. */
   readonly cookies: CookieIndex;
   private readonly table: ServerTable;
-  private readonly departures: Departures;
+  private readonly departures: DepartedServers;
   /** Ids of listed servers whose services no version names. */
   private readonly ofUnnamedServices = new Set<string>();
 
   private constructor(private readonly options: KnownServersOptions) {
     this.table = ServerTable.create(options.hasher);
-    this.departures = Departures.create(options.flowLifetimeMs);
+    this.departures = DepartedServers.create(options.flowLifetimeMs);
     this.cookies = CookieIndex.create(options.hasher);
   }
 
@@ -60,8 +60,8 @@
   }
 
   /** Whether a server that lives would surely be in the list by now. */
-  get isSteady(): boolean {
-    return this.departures.isSteady;
+  get isAuthoritative(): boolean {
+    return this.departures.isAuthoritative;
   }
 
   /** All listed servers. */
@@ -93,7 +93,7 @@
   openServers(service: string): readonly CatalogServer[] {
     const listed = this.table.openServers(service);
     const lapsed = this.departures
-      .lapsed()
+      .listExpired()
       .filter(
         server => server.service === service && !this.table.isEvacuated(server),
       );
@@ -106,18 +106,18 @@
   }
 
   /** Whether a server has ended for certain. */
-  isGone(id: string): boolean {
-    return this.table.isSucceeded(id) || this.departures.isGone(id);
+  hasEnded(id: string): boolean {
+    return this.table.isSucceeded(id) || this.departures.hasEnded(id);
   }
 
   /** Servers whose end became certain since this was asked last. */
   takeEnded(): CatalogServer[] {
     const ended = [
       ...this.table.takeSucceeded(),
-      ...this.departures.takeGone(),
+      ...this.departures.takeEnded(),
     ];
     // One may be back by the very change that made its end seem certain.
-    return ended.filter(({id}) => this.isGone(id));
+    return ended.filter(({id}) => this.hasEnded(id));
   }
 
   /** Changes of the list after a revision, if they are still known. */
@@ -144,7 +144,7 @@
    * Takes what is later than what is held, and leaves the rest; an id may be written,
    * unreadable and removed. `at` is monotonic milliseconds.
    */
-  take(changes: ServerChanges, at: number): ServerNews {
+  take(changes: ServerChanges, at: number): AffectedServers {
     const taken = changes.written.map(server => this.takeServer(server));
     const unreadable = (changes.unreadable ?? []).filter(entry =>
       this.takeUnreadable(entry),
@@ -188,7 +188,7 @@
 
   private takeServer(
     server: CatalogServer,
-  ): Pick<ServerNews, 'changed' | 'restarted'> {
+  ): Pick<AffectedServers, 'changed' | 'restarted'> {
     if (!this.table.isLater(server)) {
       return {changed: [], restarted: []};
     }
@@ -239,7 +239,7 @@
       return false;
     }
     const departed = this.departures.serverById(id);
-    if (departed !== undefined && !this.departures.isGone(id)) {
+    if (departed !== undefined && !this.departures.hasEnded(id)) {
       this.settle({...departed, revision});
     }
     this.table.putUnreadable(entry);
--- a/src/catalog/listing-change.ts
+++ b/src/catalog/listing-change.ts
@@ -14,7 +14,7 @@
 }
 
 /** Servers whose state in the eyes of a daemon a change altered. */
-export interface ServerNews {
+export interface AffectedServers {
   /** Servers that are new, in another state or life, or can be read again. */
   readonly changed: readonly CatalogServer[];
   /** Servers that started again under their id, as they are now. */
--- a/src/catalog/server-lives.spec.ts
+++ b/src/catalog/server-lives.spec.ts
@@ -288,19 +288,19 @@
   const former = entryOf('i-1', 1, {address: 7});
   const next = entryOf('i-2', 2, {address: 7, service: 'docs'});
   catalog.takeServers(listOf(2, [former, next]), 0);
-  assert.equal(catalog.isGone(former), true);
+  assert.equal(catalog.hasEnded(former), true);
   const elsewhere = {address: 8, startTime: 70, createdRevision: 1};
   const reborn = entryOf('i-1', 3, elsewhere);
   catalog.takeServers(listOf(3, [reborn, next]), 1);
-  assert.equal(catalog.isGone(reborn), false);
-  assert.equal(catalog.isGone(next), false);
+  assert.equal(catalog.hasEnded(reborn), false);
+  assert.equal(catalog.hasEnded(next), false);
   assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-1']);
   assert.equal(catalog.serverById('i-1')?.address, 8);
   // Whoever comes to the address that it left ends nobody else.
   const third = entryOf('i-3', 4, {address: 7});
   catalog.takeServers(listOf(4, [reborn, next, third]), 2);
-  assert.equal(catalog.isGone(next), true);
-  assert.equal(catalog.isGone(reborn), false);
+  assert.equal(catalog.hasEnded(next), true);
+  assert.equal(catalog.hasEnded(reborn), false);
 });
 
 test('a server that starts again at the address of a later one has ended that one', () => {
@@ -313,8 +313,8 @@
   const started = createCatalog();
   [seenBoth, started].forEach(catalog => {
     catalog.takeServers(listOf(9, [reborn, second]), 1);
-    assert.equal(catalog.isGone(second), true);
-    assert.equal(catalog.isGone(reborn), false);
+    assert.equal(catalog.hasEnded(second), true);
+    assert.equal(catalog.hasEnded(reborn), false);
   });
 });
 
@@ -353,7 +353,7 @@
   );
   assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-2']);
   assert.equal(catalog.serverOf(cookie, route)?.id, 'i-1');
-  assert.equal(catalog.isGone(server), false);
+  assert.equal(catalog.hasEnded(server), false);
   assert.equal(changes.flatMap(({unreadable}) => unreadable).length, 1);
   assert.equal(changes.flatMap(({departed}) => departed).length, 0);
   const again = entryOf('i-1', 3, {createdRevision: 1});
@@ -371,7 +371,7 @@
   Array.from({length: 60}, (_read, index) =>
     catalog.confirmAll(1_500 + index * 500),
   );
-  assert.equal(catalog.isGone(server), false);
+  assert.equal(catalog.hasEnded(server), false);
   assert.equal(catalog.isListed('i-1'), true);
 });
 
@@ -417,7 +417,7 @@
   const cookie = catalog.cookieOf(server, route) ?? 0;
   const stranger = entryOf('i-9', 2, {address: 7, service: 'nobody'});
   catalog.takeServers(listOf(2, [server, stranger]), 1);
-  assert.equal(catalog.isGone(server), false);
+  assert.equal(catalog.hasEnded(server), false);
   const spoiled = entryOf('i-1', 3, {address: 8, service: 'nobody'});
   catalog.takeServers(listOf(3, [spoiled, stranger]), 2);
   assert.equal(catalog.serverOf(cookie, route)?.address, 7);
@@ -443,7 +443,7 @@
     changes.flatMap(({ended}) => ended),
     [],
   );
-  assert.equal(catalog.isGone(reborn), false);
+  assert.equal(catalog.hasEnded(reborn), false);
 });
 
 test('ends are told once they are certain: by a later server, and by time', () => {
--- a/src/catalog/server-table.ts
+++ b/src/catalog/server-table.ts
@@ -12,7 +12,7 @@
   type RemovedServer,
   type UnreadableEntry,
 } from './records.js';
-import {Removals} from './removals.js';
+import {Tombstones} from './tombstones.js';
 
 /** Sets the digest's hashes apart from those of other uses. */
 const DIGEST_SEED = 23;
@@ -38,7 +38,7 @@
   /** Listed servers that take new flows, for the services that were asked for. */
   private readonly open = new Map<string, readonly CatalogServer[]>();
   private readonly evacuated = new Set<string>();
-  private readonly removals = Removals.create();
+  private readonly removals = Tombstones.create();
   /**
    * Exclusive or over the hashes of all listed servers and evacuated domains, as an
    * unsigned number.
--- a/src/catalog/removals.ts
+++ b/src/catalog/tombstones.ts
@@ -8,7 +8,7 @@
 const MAXIMUM_REMOVALS = 2_000;
 
 /** The newest removals of one daemon's list. */
-export class Removals {
+export class Tombstones {
   /** Revisions at which entries went, by id, the newest last. */
   private readonly revisions = new Map<string, number>();
   /** All removals after this revision are remembered. */
@@ -17,8 +17,8 @@
   private constructor() {}
 
   /** Creates an empty record. */
-  static create(): Removals {
-    return new Removals();
+  static create(): Tombstones {
+    return new Tombstones();
   }
 
   /** Notes that nothing is known of removals up to a revision. */
--- a/src/entry/flow-endings.ts
+++ b/src/entry/flow-endings.ts
@@ -179,7 +179,7 @@
   /** Why flows of a server may be reset now; undefined: they may not. */
   private reasonToReset(server: CatalogServer): RefusalReason | undefined {
     const {catalog, router} = this.options;
-    if (catalog.isGone(server) && router.isCurrent()) {
+    if (catalog.hasEnded(server) && router.isCurrent()) {
       return RefusalReason.SERVER_GONE;
     }
     return this.options.reach.isUnreachable(server.id)
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -14,7 +14,7 @@
  * connections of two daemons have to be lost besides the packet. One that is cut off is
  * found unreachable as long as it is.
  */
-import type {ServerNews} from '../catalog/listing-change.js';
+import type {AffectedServers} from '../catalog/listing-change.js';
 import type {CatalogServer} from '../catalog/records.js';
 import type {PeerView} from '../membership/peer-view.js';
 import type {PeerDaemon} from '../membership/peer-daemon.js';
@@ -182,7 +182,7 @@
   }
 
   /** Takes changes of the list of servers. */
-  noteListing({changed, departed, restarted}: ServerNews): void {
+  noteListing({changed, departed, restarted}: AffectedServers): void {
     const now = this.options.clock.now();
     changed.forEach(({id}) => this.known.noteListed(id));
     restarted.forEach(({id}) => this.noteRestarted(id));
--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -126,7 +126,7 @@
       return this.refuseUnknown(packet, route);
     }
     const server = this.flows.notePacket(packet, route, named, clock.now());
-    if (catalog.isGone(server)) {
+    if (catalog.hasEnded(server)) {
       return this.refuse(packet, RefusalReason.SERVER_GONE);
     }
     if (this.isCutOff(packet, route, server)) {
@@ -182,7 +182,7 @@
       packet.cookie !== NO_COOKIE &&
       !catalog.hasCookie(packet.cookie, route) &&
       this.unknown.isSurelyAbsent(packet, serversConfirmedAt, clock.now()) &&
-      catalog.isSteady;
+      catalog.isAuthoritative;
     return isGone
       ? this.refuse(packet, RefusalReason.SERVER_GONE)
       : {verdict: Verdict.DROP, reason: RefusalReason.UNKNOWN_COOKIE};
