--- a/bench/experiments/imbalance.ts
+++ b/bench/experiments/imbalance.ts
@@ -3,7 +3,7 @@
 import {PacketKind} from '../../src/generated/packet.js';
 import type {Hasher} from '../../src/ports/hasher.js';
 import {
-  LightestPlacement,
+  LeastLoadedPlacement,
   Placement,
   type Candidate,
 } from '../../src/routing/placement.js';
@@ -173,7 +173,7 @@
   reported: (server: number) => number,
 ): Placement {
   const placements: Record<Policy, () => Placement> = {
-    weldyard: () => LightestPlacement.create(),
+    weldyard: () => LeastLoadedPlacement.create(),
     random: () => new RandomPlacement(random),
     'round-robin': () => new RoundRobinPlacement(),
     'least-own': () => new LeastOwnPlacement(),
--- a/bench/experiments/placing.ts
+++ b/bench/experiments/placing.ts
@@ -2,8 +2,8 @@
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
 import type {Hasher} from '../../src/ports/hasher.js';
 import {
-  LightestPlacement,
-  OwnWorkPlacement,
+  LeastLoadedPlacement,
+  LocalLoadPlacement,
   Placement,
   type Candidate,
 } from '../../src/routing/placement.js';
@@ -72,8 +72,8 @@
       twoByAll: () => twoChoices(({flows}) => flows),
       twoByBoth: () =>
         twoChoices(({ownFlows, flows}) => ownFlows * 8 + flows / 8),
-      leastByOwn: () => OwnWorkPlacement.create(),
-      leastWork: () => LightestPlacement.create(),
+      leastByOwn: () => LocalLoadPlacement.create(),
+      leastWork: () => LeastLoadedPlacement.create(),
     };
     const cases = Object.entries(policies).flatMap(([policy, create]) =>
       Object.keys(CALL_GAPS_MS).map(load => ({policy, load, create})),
--- a/src/daemon/platform-tasks.ts
+++ b/src/daemon/platform-tasks.ts
@@ -213,7 +213,7 @@
     }
     const wasFull = marks.markOf(server, kind)?.state === MarkState.FULL;
     const share = wasFull ? FREE_SHARE : FULL_SHARE;
-    const flows = coordinator.router.ledger.estimate(server, 1);
+    const flows = coordinator.router.flowCounts.estimate(server, 1);
     return flows >= limit * share ? MarkState.FULL : MarkState.LIVE;
   }
 
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -20,10 +20,10 @@
 import {ServerReachability} from '../reachability/server-reachability.js';
 import {CookieRouter} from '../routing/cookie-router.js';
 import {formatIpv4} from '../routing/ipv4.js';
-import {OwnWorkPlacement, type Placement} from '../routing/placement.js';
+import {LocalLoadPlacement, type Placement} from '../routing/placement.js';
 import type {Random} from '../routing/random.js';
-import {ServerWorkLedger} from '../routing/server-work.js';
-import {FlowEndings} from './flow-endings.js';
+import {ServerLoadTracker} from '../routing/server-load-tracker.js';
+import {FlowTerminator} from './flow-terminator.js';
 import {logChange, sinceStart, versionsOf} from './log-lines.js';
 import {PacketTask} from './packet-task.js';
 import {PlannedStop} from './planned-stop.js';
@@ -49,7 +49,7 @@
 export class EntryDaemon {
   readonly catalog: Catalog;
   private readonly peers: PeerView;
-  private readonly work: ServerWorkLedger;
+  private readonly work: ServerLoadTracker;
   private readonly placement: Placement;
   private readonly router: CookieRouter;
   private readonly spread: CatalogGossip;
@@ -57,7 +57,7 @@
   private readonly reach: ServerReachability;
   private readonly reader: CatalogReader;
   private readonly packets: PacketTask;
-  private readonly endings: FlowEndings;
+  private readonly endings: FlowTerminator;
   private readonly stops: Array<() => void> = [];
   private seeds: readonly number[];
   private isLeaving = false;
@@ -69,8 +69,8 @@
     this.seeds = seeds;
     this.catalog = Catalog.create({hasher, flowLifetimeMs});
     this.peers = PeerView.create({self: address, failureDomain, random});
-    this.work = ServerWorkLedger.create(hasher);
-    this.placement = options.placement ?? OwnWorkPlacement.create();
+    this.work = ServerLoadTracker.create(hasher);
+    this.placement = options.placement ?? LocalLoadPlacement.create();
     this.router = this.createRouter();
     this.packets = this.createPackets();
     this.turns = this.createTurns();
@@ -256,10 +256,10 @@
     });
   }
 
-  private createEndings(): FlowEndings {
+  private createEndings(): FlowTerminator {
     const {settings} = this.options;
     const {catalog, router, work, packets, reach} = this;
-    return FlowEndings.create({
+    return FlowTerminator.create({
       ...this.options,
       isOn: settings.features.feedback,
       linkMbps: settings.linkMbps,
@@ -288,7 +288,7 @@
       selectLoadToGossip: isLarge =>
         this.work.selectLoadToGossip(
           clock.now(),
-          isLarge || !this.placement.usesPeerWork,
+          isLarge || !this.placement.usesPeerLoad,
         ),
       snapshotExpectedUntil: () => this.reader.snapshotExpectedUntil,
       onElectionChange: () => this.reader.lookAgain(),
--- a/src/entry/flow-endings.ts
+++ b/src/entry/flow-terminator.ts
@@ -20,10 +20,10 @@
 import type {ServerReachability} from '../reachability/server-reachability.js';
 import {RefusalReason, type CookieRouter} from '../routing/cookie-router.js';
 import type {SeenFlow} from '../routing/seen-flows.js';
-import type {ServerWorkLedger} from '../routing/server-work.js';
+import type {ServerLoadTracker} from '../routing/server-load-tracker.js';
 import {flowOf} from './log-lines.js';
 import type {PacketTask} from './packet-task.js';
-import {PacedQueue, type Sending} from './paced-queue.js';
+import {RateLimitedQueue, type Sending} from './rate-limited-queue.js';
 
 /**
  * Times after the news of a new life at which packets are sent there, in milliseconds:
@@ -36,12 +36,12 @@
 const HEADER_BYTES = 36;
 
 /** What the endings are made from. */
-export interface FlowEndingsOptions {
+export interface FlowTerminatorOptions {
   /** Whether flows are ended early; else nothing is kept or sent. */
   readonly isOn: boolean;
   readonly catalog: Catalog;
   readonly router: CookieRouter;
-  readonly work: ServerWorkLedger;
+  readonly work: ServerLoadTracker;
   readonly packets: PacketTask;
   readonly reach: ServerReachability;
   readonly fabric: CookieFabric;
@@ -53,16 +53,16 @@
 }
 
 /** The flows that one daemon ends early. */
-export class FlowEndings {
-  private readonly queue: PacedQueue;
+export class FlowTerminator {
+  private readonly queue: RateLimitedQueue;
 
-  private constructor(private readonly options: FlowEndingsOptions) {
-    this.queue = PacedQueue.create(options.clock, options.linkMbps);
+  private constructor(private readonly options: FlowTerminatorOptions) {
+    this.queue = RateLimitedQueue.create(options.clock, options.linkMbps);
   }
 
   /** Creates endings that have nothing to end. */
-  static create(options: FlowEndingsOptions): FlowEndings {
-    return new FlowEndings(options);
+  static create(options: FlowTerminatorOptions): FlowTerminator {
+    return new FlowTerminator(options);
   }
 
   /** Sends nothing more. */
--- a/src/entry/packet-task.ts
+++ b/src/entry/packet-task.ts
@@ -10,7 +10,7 @@
   type CookieRefusal,
   type CookieRouter,
 } from '../routing/cookie-router.js';
-import type {ServerWorkLedger} from '../routing/server-work.js';
+import type {ServerLoadTracker} from '../routing/server-load-tracker.js';
 import {flowOf, sinceStart} from './log-lines.js';
 
 /** What the task is made from. */
@@ -20,7 +20,7 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly router: CookieRouter;
-  readonly work: ServerWorkLedger;
+  readonly work: ServerLoadTracker;
   /** Versions and ages of what decisions are made from. */
   versions(): LogFields;
 }
@@ -56,7 +56,7 @@
         ...flowOf(packet),
         server: server.id,
         copy: packet.openCopy,
-        unfinished: work.ownUnfinished(server.id),
+        unfinished: work.countLocalInFlight(server.id),
         ...this.options.versions(),
       });
     }
--- a/src/entry/paced-queue.spec.ts
+++ b/src/entry/rate-limited-queue.spec.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {FakeClock} from '../../standins/fake-clock.js';
-import {PacedQueue} from './paced-queue.js';
+import {RateLimitedQueue} from './rate-limited-queue.js';
 
 /** Plays a queue of packets of one length; bytes sent by each millisecond. */
 async function play(linkMbps: number, packets: number, bytes: number) {
   const clock = FakeClock.create();
-  const queue = PacedQueue.create(clock, linkMbps);
+  const queue = RateLimitedQueue.create(clock, linkMbps);
   const sentAt: number[] = [];
   const startedAt = clock.now();
   queue.add(
@@ -35,7 +35,7 @@
 
 test('a queue that is stopped sends nothing more', async () => {
   const clock = FakeClock.create();
-  const queue = PacedQueue.create(clock, 7);
+  const queue = RateLimitedQueue.create(clock, 7);
   let sent = 0;
   const send = () => {
     sent += 1;
--- a/src/entry/paced-queue.ts
+++ b/src/entry/rate-limited-queue.ts
@@ -15,7 +15,7 @@
 export type Sending = () => number;
 
 /** The packets that one daemon is to send of its own accord. */
-export class PacedQueue {
+export class RateLimitedQueue {
   private waiting: Sending[] = [];
   private isStopped = false;
   private timer: Timer | undefined;
@@ -27,8 +27,8 @@
   ) {}
 
   /** Creates an empty queue. */
-  static create(clock: Clock, linkMbps: number): PacedQueue {
-    return new PacedQueue(clock, linkMbps);
+  static create(clock: Clock, linkMbps: number): RateLimitedQueue {
+    return new RateLimitedQueue(clock, linkMbps);
   }
 
   /** Sends packets as soon as their turn comes. */
--- a/src/index.ts
+++ b/src/index.ts
@@ -38,7 +38,7 @@
   type WeightedServer,
 } from './routing/lookup-table.js';
 export {
-  LightestPlacement,
+  LeastLoadedPlacement as LightestPlacement,
   Placement,
   type Candidate,
 } from './routing/placement.js';
@@ -101,7 +101,7 @@
   type CookieDecision,
   type CookieRouterOptions,
 } from './routing/cookie-router.js';
-export {ServerWorkLedger} from './routing/server-work.js';
+export {ServerLoadTracker as ServerWorkLedger} from './routing/server-load-tracker.js';
 
 // Recovery
 export {
--- a/src/recovery/fleet-joining.ts
+++ b/src/recovery/fleet-joining.ts
@@ -102,7 +102,9 @@
       message.members.forEach(update =>
         this.options.members.mergeMember(memberOf(update)),
       );
-      message.loads.forEach(load => this.options.router.ledger.receive(load));
+      message.loads.forEach(load =>
+        this.options.router.flowCounts.receive(load),
+      );
       return message;
     });
     return learned.isOk();
--- a/src/recovery/flow-coordinator.ts
+++ b/src/recovery/flow-coordinator.ts
@@ -113,8 +113,8 @@
         onStranger: (id, address) => void this.joining.meet(id, address),
         onDeclaredDead: () => void this.joining.rejoin(),
         onBackInTouch: () => this.askBackups(),
-        loadToPublish: () => this.router.ledger.publish(),
-        onLoad: load => this.router.ledger.receive(load),
+        loadToPublish: () => this.router.flowCounts.publish(),
+        onLoad: load => this.router.flowCounts.receive(load),
       },
     });
     this.replicator = Replicator.create({
@@ -366,7 +366,7 @@
   private memberMessage(): MemberListMessage {
     return {
       members: this.members.all().map(member => ({...member})),
-      loads: this.router.ledger.vectors(),
+      loads: this.router.flowCounts.vectors(),
     };
   }
 
--- a/src/routing/candidates.ts
+++ b/src/routing/candidates.ts
@@ -1,6 +1,6 @@
 /** The servers of an address that may take a new flow now. */
 import type {GenerationTable} from './generation-table.js';
-import type {LoadLedger} from './load-ledger.js';
+import type {OpenFlowCounts} from './open-flow-counts.js';
 import type {Candidate} from './placement.js';
 import type {RoutedAddress} from './routed-address.js';
 import type {ServerMarks} from './server-marks.js';
@@ -20,7 +20,7 @@
 
 /** What the choice of candidates depends on. */
 export interface CandidateContext {
-  readonly ledger: LoadLedger;
+  readonly flowCounts: OpenFlowCounts;
   /** Members that open flows. */
   readonly members: number;
   readonly wallMs: number;
@@ -50,7 +50,7 @@
   routed: RoutedAddress,
   context: CandidateContext,
 ): Candidate[] {
-  const {ledger, members, wallMs} = context;
+  const {flowCounts: ledger, members, wallMs} = context;
   return servers
     .map(({id, server, weight, newSinceMs}) => ({
       server,
--- a/src/routing/cookie-router.spec.ts
+++ b/src/routing/cookie-router.spec.ts
@@ -16,9 +16,9 @@
   Verdict,
   type CookieDecision,
 } from './cookie-router.js';
-import {LightestPlacement} from './placement.js';
+import {LeastLoadedPlacement} from './placement.js';
 import {Random} from './random.js';
-import {ServerWorkLedger} from './server-work.js';
+import {ServerLoadTracker} from './server-load-tracker.js';
 import {createRoute} from '../../standins/catalog-records.js';
 import {createPacket} from '../../standins/cookie-packets.js';
 
@@ -65,7 +65,7 @@
     hasher,
     flowLifetimeMs: FLOW_LIFETIME_MS,
   });
-  const work = ServerWorkLedger.create(hasher);
+  const work = ServerLoadTracker.create(hasher);
   const silent: string[] = [];
   const unreachable = new Set<string>();
   catalog.takeServers({revision: 1, servers, evacuated: []}, clock.now());
@@ -76,7 +76,7 @@
   const router = CookieRouter.create({
     catalog,
     work,
-    placement: LightestPlacement.create(),
+    placement: LeastLoadedPlacement.create(),
     clock,
     random: Random.create(3),
     inForceLimitMs: 3_000,
--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -9,7 +9,7 @@
 import type {Clock} from '../ports/clock.js';
 import type {CallerPosition, CookiePacket} from '../ports/cookie-fabric.js';
 import type {Counters} from '../ports/counters.js';
-import {KeptPackets} from './kept-packets.js';
+import {RetainedPackets} from './retained-packets.js';
 import type {RequestObserver} from './request-outcome.js';
 import {RequestWatch} from './request-watch.js';
 import {SeenFlows} from './seen-flows.js';
@@ -90,7 +90,7 @@
       counters,
       work,
       watch: this.watch,
-      packets: keepsPackets === true ? KeptPackets.create() : undefined,
+      packets: keepsPackets === true ? RetainedPackets.create() : undefined,
       onUnanswered: server => this.choice.noteUnanswered(server, clock.now()),
     });
   }
--- a/src/routing/load-ledger.ts
+++ b/src/routing/open-flow-counts.ts
@@ -19,7 +19,7 @@
 }
 
 /** The counts of this daemon and what the others published. */
-export class LoadLedger {
+export class OpenFlowCounts {
   private readonly own = new Map<number, number>();
   /** Changes since the last publication. */
   private readonly unpublished = new Map<number, number>();
@@ -33,8 +33,8 @@
   ) {}
 
   /** Creates an empty ledger; `member` is unique to this run of the daemon. */
-  static create(member: string, hasher: Hasher): LoadLedger {
-    return new LoadLedger(member, ServerHashes.create(hasher));
+  static create(member: string, hasher: Hasher): OpenFlowCounts {
+    return new OpenFlowCounts(member, ServerHashes.create(hasher));
   }
 
   /** Counts a flow opened (+1) or closed (-1) at a server. */
--- a/src/routing/placement.ts
+++ b/src/routing/placement.ts
@@ -19,7 +19,7 @@
 /** A way to choose among servers. */
 export abstract class Placement {
   /** Whether `flows` of candidates has to count the work that peers told of. */
-  readonly usesPeerWork: boolean = true;
+  readonly usesPeerLoad: boolean = true;
 
   /**
    * Chooses a server. `preferred` is the table's choice, which costs no state
@@ -30,14 +30,14 @@
 }
 
 /** Takes the table's choice unless it is above the lightest by more than the slack. */
-export class LightestPlacement extends Placement {
+export class LeastLoadedPlacement extends Placement {
   private constructor() {
     super();
   }
 
   /** Creates the placement that daemons use. */
-  static create(): LightestPlacement {
-    return new LightestPlacement();
+  static create(): LeastLoadedPlacement {
+    return new LeastLoadedPlacement();
   }
 
   choose(candidates: readonly Candidate[], preferred: number): number {
@@ -57,16 +57,16 @@
  * second old, and daemons that all see the same old counts choose the same server
  * (experiment "placing": p99 112 ms by own counts, 384 ms by all, in a burst).
  */
-export class OwnWorkPlacement extends Placement {
-  override readonly usesPeerWork = false;
+export class LocalLoadPlacement extends Placement {
+  override readonly usesPeerLoad = false;
 
   private constructor() {
     super();
   }
 
   /** Creates the placement. */
-  static create(): OwnWorkPlacement {
-    return new OwnWorkPlacement();
+  static create(): LocalLoadPlacement {
+    return new LocalLoadPlacement();
   }
 
   choose(candidates: readonly Candidate[], preferred: number): number {
--- a/src/routing/kept-packets.spec.ts
+++ b/src/routing/retained-packets.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createPacket} from '../../standins/cookie-packets.js';
-import {KeptPackets} from './kept-packets.js';
+import {RetainedPackets} from './retained-packets.js';
 
 const HEAD_BYTES = 32;
 
@@ -11,7 +11,7 @@
 }
 
 test('the newest packet is kept, but not data in place of one that says the same', () => {
-  const packets = KeptPackets.create();
+  const packets = RetainedPackets.create();
   const [opening, request] = [packetOf(0), packetOf(900)];
   const [answered, next] = [packetOf(0, 700), packetOf(900, 800)];
   assert.equal(packets.choose(undefined, request), request);
@@ -22,7 +22,7 @@
 });
 
 test('a packet that closes or gives up its flow is never kept', () => {
-  const packets = KeptPackets.create();
+  const packets = RetainedPackets.create();
   const kept = packetOf(0);
   const ends = [{closes: true}, {resets: true}];
   ends.forEach(part =>
@@ -31,7 +31,7 @@
 });
 
 test('60,000 flows whose only packet is a long one keep no more than the bound', () => {
-  const packets = KeptPackets.create();
+  const packets = RetainedPackets.create();
   const kept = Array.from({length: 60_000}, () =>
     packets.choose(undefined, packetOf(1_200)),
   ).flatMap(packet => packet ?? []);
--- a/src/routing/kept-packets.ts
+++ b/src/routing/retained-packets.ts
@@ -15,14 +15,14 @@
 const MOST_BYTES = 4 * 1_024 * 1_024;
 
 /** The bytes that one daemon keeps. */
-export class KeptPackets {
+export class RetainedPackets {
   private bytes = 0;
 
   private constructor(private readonly mostBytes: number) {}
 
   /** Keeps nothing yet. */
-  static create(mostBytes = MOST_BYTES): KeptPackets {
-    return new KeptPackets(mostBytes);
+  static create(mostBytes = MOST_BYTES): RetainedPackets {
+    return new RetainedPackets(mostBytes);
   }
 
   /** Which packet of a flow to keep from now on: the one that is, or a later one. */
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -16,9 +16,9 @@
 import {FlowKeys, partitionOf, type FlowKey} from './flow-key.js';
 import {EntryKind, FlowTable} from './flow-table.js';
 import {NO_SERVER, TableBuilder, serverIn} from './generation-table.js';
-import {LoadLedger} from './load-ledger.js';
+import {OpenFlowCounts} from './open-flow-counts.js';
 import {Ownership} from './ownership.js';
-import {LightestPlacement, type Placement} from './placement.js';
+import {LeastLoadedPlacement, type Placement} from './placement.js';
 import {Predecessors} from './predecessors.js';
 import {RevisionTables} from './revision-tables.js';
 import type {RoutingRevision} from './routed-address.js';
@@ -87,7 +87,7 @@
 /** Routes packets; one instance a daemon. */
 export class Router {
   readonly flows: FlowTable;
-  readonly ledger: LoadLedger;
+  readonly flowCounts: OpenFlowCounts;
   readonly directory = ServerDirectory.create();
   private readonly keys: FlowKeys;
   private readonly tables: RevisionTables;
@@ -99,12 +99,12 @@
 
   private constructor(private readonly options: RouterOptions) {
     this.flows = FlowTable.create(options.maximumEntries);
-    this.ledger = LoadLedger.create(options.run, options.hasher);
+    this.flowCounts = OpenFlowCounts.create(options.run, options.hasher);
     this.predecessors = Predecessors.create(options.clock);
     this.keys = FlowKeys.create(options.hasher);
     const builder = TableBuilder.create(options.hasher, this.directory);
     this.tables = RevisionTables.create(builder, options.clock);
-    this.placement = options.placement ?? LightestPlacement.create();
+    this.placement = options.placement ?? LeastLoadedPlacement.create();
     const alone = [{id: options.self, failureDomain: ''}];
     this.view = {
       ownership: Ownership.create(alone, options.hasher),
@@ -444,7 +444,7 @@
       return {kind: DecisionKind.DROP, reason: DropReason.ADDRESS_NOT_IN_FORCE};
     }
     const candidates = candidatesOf(active.eligible, active.routed, {
-      ledger: this.ledger,
+      flowCounts: this.flowCounts,
       members: this.view.members,
       wallMs: this.options.clock.wall(),
     });
@@ -544,10 +544,10 @@
 
   private count(server: number, kind: PacketKind): void {
     if (kind === PacketKind.OPEN) {
-      this.ledger.count(this.directory.idOf(server), 1);
+      this.flowCounts.count(this.directory.idOf(server), 1);
     }
     if (kind === PacketKind.CLOSE) {
-      this.ledger.count(this.directory.idOf(server), -1);
+      this.flowCounts.count(this.directory.idOf(server), -1);
     }
   }
 
--- a/src/routing/seen-flows.spec.ts
+++ b/src/routing/seen-flows.spec.ts
@@ -5,9 +5,9 @@
 import type {KnownRoute} from '../catalog/route-table.js';
 import {createRoute, createServer} from '../../standins/catalog-records.js';
 import {createPacket} from '../../standins/cookie-packets.js';
-import {KeptPackets} from './kept-packets.js';
+import {RetainedPackets} from './retained-packets.js';
 import {SeenFlows} from './seen-flows.js';
-import {ServerWorkLedger} from './server-work.js';
+import {ServerLoadTracker} from './server-load-tracker.js';
 
 const SERVER = createServer('i-1', 'pay');
 const ROUTE: KnownRoute = {
@@ -16,12 +16,12 @@
 };
 
 function createFlows() {
-  const work = ServerWorkLedger.create(ScriptXxhashHasher.create());
+  const work = ServerLoadTracker.create(ScriptXxhashHasher.create());
   const flows = SeenFlows.create({
     counters: MemoryCounters.create(),
     work,
     watch: undefined,
-    packets: KeptPackets.create(),
+    packets: RetainedPackets.create(),
     onUnanswered: () => undefined,
   });
   /** A later packet of the flow from a port, at a time. */
@@ -71,13 +71,13 @@
   const {flows, work, note} = createFlows();
   [1, 2].forEach(port => note(port, 0));
   note(2, 10, {dataLength: 900});
-  assert.equal(work.ownUnfinished('i-1'), 1);
+  assert.equal(work.countLocalInFlight('i-1'), 1);
   const reborn = createServer('i-1', 'pay', {address: 7, startTime: 70});
   const renewed = flows.renew(reborn);
   const ports = renewed.map(({caller}) => caller.sourcePort);
   assert.deepEqual(ports, [2, 1]);
   assert.ok(renewed.every(({server}) => server === reborn));
-  assert.equal(work.ownUnfinished('i-1'), 0);
+  assert.equal(work.countLocalInFlight('i-1'), 0);
   note(2, 20, {acknowledged: 700});
-  assert.equal(work.ownUnfinished('i-1'), 0);
+  assert.equal(work.countLocalInFlight('i-1'), 0);
 });
--- a/src/routing/seen-flows.ts
+++ b/src/routing/seen-flows.ts
@@ -8,9 +8,9 @@
 import {Metric, type Counters} from '../ports/counters.js';
 import type {KnownRoute} from '../catalog/route-table.js';
 import {destinationKey} from './flow-key.js';
-import type {KeptPackets} from './kept-packets.js';
+import type {RetainedPackets} from './retained-packets.js';
 import type {RequestWatch} from './request-watch.js';
-import type {ServerWorkLedger} from './server-work.js';
+import type {ServerLoadTracker} from './server-load-tracker.js';
 
 /** Flows kept at the most; 300 bytes each. */
 const MAXIMUM_FLOWS = 60_000;
@@ -66,11 +66,11 @@
 export interface SeenFlowsOptions {
   readonly counters: Counters;
   /** Where requests and silences are counted. */
-  readonly work: ServerWorkLedger;
+  readonly work: ServerLoadTracker;
   /** Follows requests to their ends; undefined where nobody asks for them. */
   readonly watch: RequestWatch | undefined;
   /** Which packets are kept; undefined where none are. */
-  readonly packets: KeptPackets | undefined;
+  readonly packets: RetainedPackets | undefined;
   /** Told of a server that left a packet without an answer. */
   onUnanswered(server: CatalogServer): void;
 }
--- a/src/routing/server-choice.ts
+++ b/src/routing/server-choice.ts
@@ -9,7 +9,7 @@
 import {ColdOpenings, type ColdLimits} from './cold-openings.js';
 import type {Candidate, Placement} from './placement.js';
 import type {Random} from './random.js';
-import type {ServerWorkLedger} from './server-work.js';
+import type {ServerLoadTracker} from './server-load-tracker.js';
 
 /**
  * Servers that are weighed for one opening: with 32, one that is idle is among
@@ -23,7 +23,7 @@
 /** What a choice is made from. */
 export interface ServerChoiceOptions {
   readonly catalog: Catalog;
-  readonly work: ServerWorkLedger;
+  readonly work: ServerLoadTracker;
   readonly placement: Placement;
   readonly random: Random;
   /** What callers' packets tell of each server beside the others of its service. */
@@ -186,9 +186,9 @@
     const {work, placement, catalog, ratings} = this.options;
     const rating = ratings.ratingOf(server.id, now);
     const warm = catalog.isCold(server, now) ? COLD_SHARE : 1;
-    const ownFlows = work.ownUnfinished(server.id);
-    const flows = placement.usesPeerWork
-      ? work.unfinished(server.id, now)
+    const ownFlows = work.countLocalInFlight(server.id);
+    const flows = placement.usesPeerLoad
+      ? work.countInFlight(server.id, now)
       : ownFlows;
     const weight = server.slots * warm * rating.weight;
     return {server: index, weight, flows, ownFlows};
--- a/src/routing/server-work.spec.ts
+++ b/src/routing/server-load-tracker.spec.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
-import {ServerWorkLedger} from './server-work.js';
+import {ServerLoadTracker} from './server-load-tracker.js';
 
 const hasher = await XxhashHasher.create();
 
-function createLedger(): ServerWorkLedger {
-  return ServerWorkLedger.create(hasher);
+function createLedger(): ServerLoadTracker {
+  return ServerLoadTracker.create(hasher);
 }
 
 test('work of all daemons is added up, and what a silent daemon told is dropped', () => {
@@ -16,9 +16,9 @@
   two.count('s', 1);
   two.count('s', 1);
   one.receive(2, two.selectLoadToGossip(0, false), 0);
-  assert.equal(one.unfinished('s', 100), 3);
-  assert.equal(one.ownUnfinished('s'), 1);
-  assert.equal(one.unfinished('s', 2_000), 1);
+  assert.equal(one.countInFlight('s', 100), 3);
+  assert.equal(one.countLocalInFlight('s'), 1);
+  assert.equal(one.countInFlight('s', 2_000), 1);
 });
 
 test('an unanswered packet sets a server aside, longer with each time in vain', () => {
@@ -73,6 +73,6 @@
   ledger.count('s', 1);
   ledger.count('t', 1);
   ledger.retain(['t']);
-  assert.equal(ledger.ownUnfinished('s'), 0);
-  assert.equal(ledger.ownUnfinished('t'), 1);
+  assert.equal(ledger.countLocalInFlight('s'), 0);
+  assert.equal(ledger.countLocalInFlight('t'), 1);
 });
--- a/src/routing/server-work.ts
+++ b/src/routing/server-load-tracker.ts
@@ -57,7 +57,7 @@
 }
 
 /** Work and silence of the servers that one daemon sends to. */
-export class ServerWorkLedger {
+export class ServerLoadTracker {
   private readonly sights = new Map<number, ServerSight>();
   private readonly told = new Map<number, ToldVector>();
   /** Smoothed time from an opening to the caller's next packet, in milliseconds. */
@@ -66,8 +66,8 @@
   private constructor(private readonly hashes: ServerHashes) {}
 
   /** Creates an empty ledger. */
-  static create(hasher: Hasher): ServerWorkLedger {
-    return new ServerWorkLedger(ServerHashes.create(hasher));
+  static create(hasher: Hasher): ServerLoadTracker {
+    return new ServerLoadTracker(ServerHashes.create(hasher));
   }
 
   /** Counts a request begun (+1) or answered (-1) at a server. */
@@ -124,7 +124,7 @@
   }
 
   /** Unfinished requests at a server, over all daemons that told theirs. */
-  unfinished(server: string, now: number): number {
+  countInFlight(server: string, now: number): number {
     const hash = this.hashes.of(server);
     const told = [...this.told.values()]
       .filter(({validUntil}) => validUntil > now)
@@ -138,7 +138,7 @@
   }
 
   /** Unfinished requests that this daemon sent. */
-  ownUnfinished(server: string): number {
+  countLocalInFlight(server: string): number {
     return this.sights.get(this.hashes.of(server))?.unfinished ?? 0;
   }
 
