--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -184,7 +184,7 @@
     await this.coordinator.join(addresses);
     await this.announce(InstanceState.LIVE);
     this.log.info('ready', {
-      revision: this.coordinator.knowledge.staged.revision,
+      revision: this.coordinator.replicatedState.staged.revision,
     });
   }
 
@@ -229,7 +229,7 @@
           ...stream,
           counters: this.counters,
           findService: address => this.pools.findByAddress(address),
-          marks: () => this.coordinator.knowledge.marks,
+          marks: () => this.coordinator.replicatedState.marks,
         }),
       ),
     );
@@ -289,7 +289,7 @@
   private onDocument(value: Uint8Array): void {
     decodeDocument(value).match(
       ({revision}) => {
-        if (revision > this.coordinator.knowledge.staged.revision) {
+        if (revision > this.coordinator.replicatedState.staged.revision) {
           const document = Buffer.from(value);
           this.coordinator.learn([
             {revision: {revision, document}, mark: undefined},
@@ -320,7 +320,7 @@
   }
 
   private updatePools(): void {
-    const {knowledge, members} = this.coordinator;
+    const {replicatedState: knowledge, members} = this.coordinator;
     const owners = members.owners().map(({id}) => id);
     this.pools.useServers(knowledge.marks, owners);
     // Building its tables costs more than all else here at rest.
@@ -363,7 +363,7 @@
   }
 
   private status(): StatusReply {
-    const {knowledge, members, router} = this.coordinator;
+    const {replicatedState: knowledge, members, router} = this.coordinator;
     return {
       id: members.self.id,
       failureDomain: members.self.failureDomain,
--- a/src/daemon/platform-tasks.ts
+++ b/src/daemon/platform-tasks.ts
@@ -128,7 +128,7 @@
   }
 
   private isWorthAMark(instance: ListedInstance): boolean {
-    const {marks} = this.options.coordinator.knowledge;
+    const {marks} = this.options.coordinator.replicatedState;
     const known = marks.markOf(instance.id, MarkKind.PLATFORM);
     return instance.state !== InstanceState.LIVE || known !== undefined;
   }
@@ -193,7 +193,7 @@
     const failures = result.isOk() ? 0 : (this.failures.get(server) ?? 0) + 1;
     this.failures.set(server, failures);
     const state = this.stateOf(server, kind, limit, failures);
-    const {marks} = this.options.coordinator.knowledge;
+    const {marks} = this.options.coordinator.replicatedState;
     const known = marks.markOf(server, kind)?.state ?? MarkState.LIVE;
     if (state !== known && !this.stopped) {
       this.publish(server, kind, state);
@@ -207,7 +207,7 @@
     failures: number,
   ): MarkState {
     const {coordinator} = this.options;
-    const {marks} = coordinator.knowledge;
+    const {marks} = coordinator.replicatedState;
     if (failures >= FAILURES_BEFORE_DOWN) {
       return MarkState.DOWN;
     }
--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -9,7 +9,7 @@
 import type {Peers} from '../ports/peers.js';
 import type {ChangeLog} from './change-log.js';
 import type {MemberList} from './member-list.js';
-import {MemberNews} from './member-news.js';
+import {MembershipUpdater} from './membership-updater.js';
 import {
   MemberState,
   answersProbes,
@@ -41,7 +41,7 @@
   /** The others took this daemon for dead; it has to join again. */
   onDeclaredDead(): void;
   /** Peers answer again after a time in which this daemon did not run. */
-  onBackInTouch(): void;
+  onContactRestored(): void;
   /** Flow counts to publish. */
   loadToPublish(): LoadVector;
   onLoad(load: LoadVector): void;
@@ -59,7 +59,7 @@
 /** Probes the peers of one daemon and judges their answers. */
 export class FailureDetector {
   private readonly contacts: PeerContacts;
-  private readonly news: MemberNews;
+  private readonly news: MembershipUpdater;
   private sequence = 0;
   private turn = 0;
   private load: LoadVector | undefined;
@@ -69,7 +69,7 @@
   private constructor(private readonly options: DetectorOptions) {
     const {members, clock, hooks} = options;
     this.contacts = PeerContacts.create(members.self.id, clock);
-    this.news = MemberNews.create(members, {
+    this.news = MembershipUpdater.create(members, {
       announce: () => this.announce(),
       onDeclaredDead: () => hooks.onDeclaredDead(),
     });
@@ -94,8 +94,8 @@
    * in touch, and nothing of its log is still to be staged here.
    */
   isCurrent(id: string): boolean {
-    if (!this.isInTouch(id) || id === this.options.members.self.id) {
-      return this.isInTouch(id);
+    if (!this.isResponsive(id) || id === this.options.members.self.id) {
+      return this.isResponsive(id);
     }
     const contact = this.contacts.of(id);
     const {logEpoch, logTop} = contact;
@@ -106,13 +106,13 @@
    * Whether the member answered of late; for the daemon itself, whether any
    * peer did, or there is none.
    */
-  isInTouch(id: string): boolean {
-    return this.contacts.isInTouch(id);
+  isResponsive(id: string): boolean {
+    return this.contacts.isResponsive(id);
   }
 
   /** Whether this daemon and the member both had answers of late. */
   isMutual(id: string): boolean {
-    return this.isInTouch(id) && this.contacts.of(id).hearsThis;
+    return this.isResponsive(id) && this.contacts.of(id).hearsThis;
   }
 
   /** Members whose confirmation is to be waited for. */
@@ -264,7 +264,7 @@
   private askRelays(peer: Member): void {
     const probe = this.message(undefined, this.sequence, false);
     this.peersToProbe()
-      .filter(({id}) => id !== peer.id && this.isInTouch(id))
+      .filter(({id}) => id !== peer.id && this.isResponsive(id))
       .slice(0, RELAY_COUNT)
       .forEach(relay =>
         this.options.peers.probe(relay.address, {
@@ -304,7 +304,7 @@
     this.contacts.noteSent(peer.id, this.sequence, counted);
     this.options.peers.probe(peer.address, {
       ...this.message(peer.id, this.sequence, false),
-      outOfTouch: counted && !this.isInTouch(peer.id),
+      outOfTouch: counted && !this.isResponsive(peer.id),
     });
   }
 
@@ -340,7 +340,7 @@
       sequence,
       answer,
       ...this.ownState(),
-      updates: members.takeNews(),
+      updates: members.takeMemberUpdates(),
       logEpoch: log.epoch,
       logTop: log.top,
       seenEpoch: seen.epoch,
@@ -351,7 +351,7 @@
       relayFrom: '',
       subject: '',
       outOfTouch: false,
-      inTouch: peer !== undefined && this.isInTouch(peer),
+      inTouch: peer !== undefined && this.isResponsive(peer),
     };
   }
 
@@ -390,7 +390,7 @@
 
   private noteAnswer(sender: string, probe: Probe): void {
     if (this.contacts.noteAnswer(sender, probe.sequence)) {
-      this.options.hooks.onBackInTouch();
+      this.options.hooks.onContactRestored();
     }
   }
 }
--- a/src/membership/member-list.ts
+++ b/src/membership/member-list.ts
@@ -114,7 +114,7 @@
   }
 
   /** News to send with the next datagram. */
-  takeNews(): MemberUpdate[] {
+  takeMemberUpdates(): MemberUpdate[] {
     const taken = this.news.slice(0, NEWS_IN_A_DATAGRAM);
     taken.forEach(item => {
       item.left -= 1;
--- a/src/membership/member-news.ts
+++ b/src/membership/membership-updater.ts
@@ -13,7 +13,7 @@
 } from './member.js';
 
 /** What is done when others are wrong of this daemon. */
-export interface MemberNewsHooks {
+export interface MembershipUpdaterHooks {
   /** Tells every peer at once what this daemon says of itself. */
   announce(): void;
   /** The others took this daemon for dead; it has to join again. */
@@ -21,15 +21,18 @@
 }
 
 /** Takes news of members into one daemon's list. */
-export class MemberNews {
+export class MembershipUpdater {
   private constructor(
     private readonly members: MemberList,
-    private readonly hooks: MemberNewsHooks,
+    private readonly hooks: MembershipUpdaterHooks,
   ) {}
 
   /** Creates the way of news into `members`. */
-  static create(members: MemberList, hooks: MemberNewsHooks): MemberNews {
-    return new MemberNews(members, hooks);
+  static create(
+    members: MemberList,
+    hooks: MembershipUpdaterHooks,
+  ): MembershipUpdater {
+    return new MembershipUpdater(members, hooks);
   }
 
   /** Takes news; what is said of this daemon comes last. */
--- a/src/membership/peer-contacts.ts
+++ b/src/membership/peer-contacts.ts
@@ -5,11 +5,11 @@
 import type {Probe} from '../generated/packet.js';
 import type {Clock} from '../ports/clock.js';
 import {
-  CONTACT_MS,
+  CONFIRMATION_TIMEOUT_MS,
   MESH_LIMIT,
   PAUSE_MS,
   PROBE_INTERVAL_MS,
-  TRUST_MS,
+  VIEW_LEASE_MS,
 } from './timing.js';
 
 /** What is known of the exchange with one peer; times are monotonic. */
@@ -37,8 +37,8 @@
   private heardFromAnyMs = -Infinity;
   private lastTickMs: number;
   private alone = true;
-  private trustMs = TRUST_MS;
-  private contactMs = CONTACT_MS;
+  private trustMs = VIEW_LEASE_MS;
+  private contactMs = CONFIRMATION_TIMEOUT_MS;
 
   private constructor(
     private readonly self: string,
@@ -77,7 +77,7 @@
    * Whether the member answered of late; for the daemon itself, whether any
    * peer did, or there is none.
    */
-  isInTouch(id: string): boolean {
+  isResponsive(id: string): boolean {
     const limit = this.clock.now() - this.trustMs;
     if (this.hasPaused()) {
       return false;
@@ -97,8 +97,9 @@
   updateBounds(peers: number): void {
     const moreRounds = Math.max(1, Math.ceil(peers / MESH_LIMIT)) - 1;
     this.alone = peers === 0;
-    this.trustMs = TRUST_MS + moreRounds * PROBE_INTERVAL_MS * 2;
-    this.contactMs = CONTACT_MS + moreRounds * PROBE_INTERVAL_MS * 4;
+    this.trustMs = VIEW_LEASE_MS + moreRounds * PROBE_INTERVAL_MS * 2;
+    this.contactMs =
+      CONFIRMATION_TIMEOUT_MS + moreRounds * PROBE_INTERVAL_MS * 4;
   }
 
   /** Notes a run of the probe task. */
--- a/src/membership/knowledge.ts
+++ b/src/membership/replicated-state.ts
@@ -23,7 +23,7 @@
 }
 
 /** Told of what becomes staged and active. */
-export interface KnowledgeListener {
+export interface ReplicatedStateListener {
   onStaged(revision: RoutingRevision, marks: ServerMarks): void;
   onActive(revision: number, marks: ServerMarks): void;
   /** A mark that was new. */
@@ -36,7 +36,7 @@
 ) => RoutingRevision | undefined;
 
 /** The knowledge of one daemon. */
-export class Knowledge {
+export class ReplicatedState {
   readonly marks = ServerMarks.create();
   private revision: RoutingRevision = {revision: 0, addresses: []};
   private document: RevisionBundle | undefined;
@@ -47,16 +47,16 @@
   private constructor(
     private readonly log: ChangeLog,
     private readonly read: RevisionReader,
-    private readonly listener: KnowledgeListener,
+    private readonly listener: ReplicatedStateListener,
   ) {}
 
   /** Creates empty knowledge. */
   static create(
     log: ChangeLog,
     read: RevisionReader,
-    listener: KnowledgeListener,
-  ): Knowledge {
-    return new Knowledge(log, read, listener);
+    listener: ReplicatedStateListener,
+  ): ReplicatedState {
+    return new ReplicatedState(log, read, listener);
   }
 
   /** The newest revision that is staged. */
--- a/src/membership/timing.ts
+++ b/src/membership/timing.ts
@@ -16,7 +16,7 @@
  * Time since the sending of the newest answered probe in which a daemon takes
  * its knowledge to include all that the peer places flows by.
  */
-export const TRUST_MS = 1_250;
+export const VIEW_LEASE_MS = 1_250;
 
 /**
  * Time without a run of the probe task after which a daemon takes itself to
@@ -30,10 +30,10 @@
  * It is counted from a later event than `TRUST_MS` and is longer, so a silent
  * daemon has stopped trusting its tables by then, whatever the clocks say.
  */
-export const CONTACT_MS = 2_500;
+export const CONFIRMATION_TIMEOUT_MS = 2_500;
 
 /** Time in which a new owner asks the one before it for unknown flows. */
-export const PREDECESSOR_MS = 3_000;
+export const FORMER_HOLDER_QUERY_MS = 3_000;
 
 /** Time between two publications of flow counts. */
 export const LOAD_INTERVAL_MS = 2_000;
--- a/src/recovery/entry-exchange.ts
+++ b/src/recovery/entry-exchange.ts
@@ -1,6 +1,6 @@
 /** Exchange of flow entries with the other holders of their partitions. */
 import type {FlowException} from '../generated/peer.js';
-import {PREDECESSOR_MS} from '../membership/timing.js';
+import {FORMER_HOLDER_QUERY_MS} from '../membership/timing.js';
 import type {Clock} from '../ports/clock.js';
 import {EventKind, type Timeline} from '../ports/timeline.js';
 import {partitionOf} from '../routing/flow-key.js';
@@ -111,7 +111,7 @@
   /** Sends changed entries to the other holders of their partitions. */
   flush(): void {
     const updates = this.options.router.takeUpdates();
-    const deadline = this.options.clock.now() + PREDECESSOR_MS;
+    const deadline = this.options.clock.now() + FORMER_HOLDER_QUERY_MS;
     updates.forEach(update => this.recent.push({update, deadline}));
     const byReceiver = new Map<string, FlowException[]>();
     updates.forEach(({partition, exception}) =>
--- a/src/recovery/fleet-joining.ts
+++ b/src/recovery/fleet-joining.ts
@@ -166,7 +166,7 @@
       .every(
         ({id}) =>
           id === this.options.members.self.id ||
-          this.options.detector.isInTouch(id),
+          this.options.detector.isResponsive(id),
       );
   }
 
--- a/src/recovery/flow-coordinator.ts
+++ b/src/recovery/flow-coordinator.ts
@@ -9,7 +9,10 @@
 } from '../generated/peer.js';
 import {ChangeLog} from '../membership/change-log.js';
 import {FailureDetector} from '../membership/failure-detector.js';
-import {Knowledge, type RevisionReader} from '../membership/knowledge.js';
+import {
+  ReplicatedState,
+  type RevisionReader,
+} from '../membership/replicated-state.js';
 import {MemberList} from '../membership/member-list.js';
 import {
   MEMBER_STATE_NAMES,
@@ -18,7 +21,7 @@
   ownsPartitions,
   type Member,
 } from '../membership/member.js';
-import {PREDECESSOR_MS} from '../membership/timing.js';
+import {FORMER_HOLDER_QUERY_MS} from '../membership/timing.js';
 import type {BackendServers} from '../ports/backend-servers.js';
 import type {Clock, Timer} from '../ports/clock.js';
 import {Metric, type Counters} from '../ports/counters.js';
@@ -71,7 +74,7 @@
   readonly members: MemberList;
   readonly router: Router;
   readonly log: ChangeLog;
-  readonly knowledge: Knowledge;
+  readonly replicatedState: ReplicatedState;
   readonly detector: FailureDetector;
   readonly replicator: Replicator;
   private readonly packets: PacketPath;
@@ -92,7 +95,7 @@
       hasher.hashText(`${self.id}/${self.incarnation}`, 0),
       hasher,
     );
-    this.knowledge = Knowledge.create(this.log, options.read, {
+    this.replicatedState = ReplicatedState.create(this.log, options.read, {
       onStaged: (revision, marks) => this.router.stage(revision, marks),
       onActive: (revision, marks) => {
         this.router.activate(revision, marks);
@@ -112,7 +115,7 @@
         onConfirmed: () => this.activate(),
         onStranger: (id, address) => void this.joining.meet(id, address),
         onDeclaredDead: () => void this.joining.rejoin(),
-        onBackInTouch: () => this.askBackups(),
+        onContactRestored: () => this.askBackups(),
         loadToPublish: () => this.router.flowCounts.publish(),
         onLoad: load => this.router.flowCounts.receive(load),
       },
@@ -206,18 +209,20 @@
     await Promise.all(
       addresses.map(address => this.joining.learnFrom(address)),
     );
-    await this.joining.waitUntil(() => this.knowledge.staged.revision > 0);
+    await this.joining.waitUntil(
+      () => this.replicatedState.staged.revision > 0,
+    );
     await this.joining.becomeReady();
     this.options.timeline.record(EventKind.READY, {
-      revision: this.knowledge.staged.revision,
+      revision: this.replicatedState.staged.revision,
     });
   }
 
   /** Takes changes from the store or the platform and tells the peers. */
   learn(changes: readonly Omit<Change, 'index'>[]): void {
-    if (this.knowledge.apply(changes)) {
+    if (this.replicatedState.apply(changes)) {
       this.options.timeline.record(EventKind.REVISION_STAGED, {
-        revision: this.knowledge.staged.revision,
+        revision: this.replicatedState.staged.revision,
       });
       this.detector.announce();
       this.activate();
@@ -238,7 +243,7 @@
     this.detector.announce();
     const {clock} = this.options;
     // Peers ask this daemon for unknown flows until they own them for good.
-    await this.pause(Math.min(deadline, clock.now() + PREDECESSOR_MS));
+    await this.pause(Math.min(deadline, clock.now() + FORMER_HOLDER_QUERY_MS));
     return this.settle(deadline);
   }
 
@@ -257,7 +262,7 @@
 
   private activate(): void {
     const now = this.options.clock.now();
-    this.knowledge.activateConfirmed(this.detector.peersInContact(), now);
+    this.replicatedState.activateConfirmed(this.detector.peersInContact(), now);
   }
 
   private onMember(member: Member, before: Member | undefined): void {
@@ -281,7 +286,7 @@
   /** The backups may have decided while this daemon did not run. */
   private askBackups(): void {
     const self = this.members.self.id;
-    const deadline = this.options.clock.now() + PREDECESSOR_MS;
+    const deadline = this.options.clock.now() + FORMER_HOLDER_QUERY_MS;
     this.ownership
       .partitionsHeldBy(self)
       .filter(partition => this.ownership.ownerOf(partition) === self)
@@ -312,7 +317,7 @@
       this.router.predecessors.use(
         partition,
         predecessors,
-        clock.now() + PREDECESSOR_MS,
+        clock.now() + FORMER_HOLDER_QUERY_MS,
       ),
     );
     timeline.record(EventKind.OWNERSHIP_CHANGED, {
@@ -329,7 +334,7 @@
       ownership: this.ownership,
       members: Math.max(1, owners.length),
       isCurrent: id => this.detector.isCurrent(id),
-      isInTouch: id => this.detector.isInTouch(id),
+      isResponsive: id => this.detector.isResponsive(id),
       relays: owners
         .map(({id}) => id)
         .filter(id => id !== this.members.self.id),
@@ -355,7 +360,7 @@
         other =>
           other.id !== id &&
           handlesPackets(other) &&
-          this.detector.isInTouch(other.id),
+          this.detector.isResponsive(other.id),
       )?.address;
   }
 
--- a/src/recovery/mechanisms.spec.ts
+++ b/src/recovery/mechanisms.spec.ts
@@ -174,13 +174,13 @@
         });
       }
       fleet.edit(next, [reader]);
-      const {router, knowledge} = reader.coordinator;
+      const {router, replicatedState: knowledge} = reader.coordinator;
       if (!staged) {
         router.useView({
           ownership: reader.coordinator.currentOwnership,
           members: 4,
           isCurrent: () => true,
-          isInTouch: id => id === reader.id,
+          isResponsive: id => id === reader.id,
           relays: [],
         });
         router.activate(2, knowledge.marks);
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -59,7 +59,7 @@
    * Whether the member answered of late; for the daemon itself, whether any
    * peer did.
    */
-  isInTouch(member: string): boolean;
+  isResponsive(member: string): boolean;
   /** Other members, which may reach a member that this one does not. */
   readonly relays: readonly string[];
 }
@@ -110,7 +110,7 @@
       ownership: Ownership.create(alone, options.hasher),
       members: 1,
       isCurrent: () => true,
-      isInTouch: () => true,
+      isResponsive: () => true,
       relays: [],
     };
   }
@@ -252,7 +252,8 @@
    */
   private mayHaveWaited(packet: PacketHeader): boolean {
     return (
-      packet.kind === PacketKind.OPEN && !this.view.isInTouch(this.options.self)
+      packet.kind === PacketKind.OPEN &&
+      !this.view.isResponsive(this.options.self)
     );
   }
 
@@ -331,7 +332,7 @@
       return this.passAlong(key, arrival.chain);
     }
     const partition = partitionOf(key);
-    if (owner === this.options.self && this.view.isInTouch(owner)) {
+    if (owner === this.options.self && this.view.isResponsive(owner)) {
       const earlier = this.predecessors.of(partition);
       // The question comes back: what nobody knows is decided here.
       return this.passAlong(
@@ -357,7 +358,7 @@
     hops: number,
   ): string | undefined {
     const {self} = this.options;
-    const {isInTouch, relays} = this.view;
+    const {isResponsive: isInTouch, relays} = this.view;
     const backup = this.view.ownership.backupOf(partition);
     if (!isInTouch(self)) {
       return owner === self ? backup : owner;
@@ -374,7 +375,7 @@
     key: FlowKey,
     chain: readonly string[],
   ): Decision | undefined {
-    const [member, ...rest] = chain.filter(id => this.view.isInTouch(id));
+    const [member, ...rest] = chain.filter(id => this.view.isResponsive(id));
     const isOwn = member === undefined || member === this.options.self;
     return isOwn || this.isPlacedHere(key)
       ? undefined
