--- a/src/index.ts
+++ b/src/index.ts
@@ -42,7 +42,10 @@
   Placement,
   type Candidate,
 } from './routing/placement.js';
-export {Ownership, type Candidacy} from './routing/ownership.js';
+export {
+  Ownership,
+  type OwnerCandidate as Candidacy,
+} from './routing/ownership.js';
 export {Router, StateScope, type RouterOptions} from './routing/router.js';
 export {
   DecisionKind,
--- a/src/recovery/entry-exchange.ts
+++ b/src/recovery/entry-exchange.ts
@@ -6,7 +6,7 @@
 import {partitionOf} from '../routing/flow-key.js';
 import type {Ownership} from '../routing/ownership.js';
 import type {EntryUpdate, Router} from '../routing/router.js';
-import type {Transfer} from './handover.js';
+import type {PartitionTransfer} from './handover.js';
 import type {Replicator} from './replicator.js';
 
 /** An entry made here and the monotonic time until which it may be sent again. */
@@ -77,7 +77,7 @@
   }
 
   /** Sends the entries of partitions that changed hands. */
-  transfer(transfer: Transfer): void {
+  transfer(transfer: PartitionTransfer): void {
     const entries = this.options.router.exceptionsOf(
       transfer.partitions,
       transfer.includeCached,
--- a/src/recovery/flow-coordinator.ts
+++ b/src/recovery/flow-coordinator.ts
@@ -275,7 +275,7 @@
       this.detector.probeNow(member.id);
     }
     if (member.state >= MemberState.DEAD) {
-      this.router.predecessors.forget(member.id);
+      this.router.formerHolders.forget(member.id);
     }
     const ownedBefore = before !== undefined && ownsPartitions(before);
     if (ownedBefore !== ownsPartitions(member)) {
@@ -293,7 +293,7 @@
       .forEach(partition => {
         const backup = this.ownership.backupOf(partition);
         if (backup !== undefined) {
-          this.router.predecessors.use(partition, [backup], deadline);
+          this.router.formerHolders.use(partition, [backup], deadline);
         }
       });
   }
@@ -313,8 +313,8 @@
     });
     plan.transfers.forEach(transfer => this.exchange.transfer(transfer));
     this.exchange.resendRecent(before);
-    plan.adoptions.forEach(({partition, predecessors}) =>
-      this.router.predecessors.use(
+    plan.takeovers.forEach(({partition, formerHolders: predecessors}) =>
+      this.router.formerHolders.use(
         partition,
         predecessors,
         clock.now() + FORMER_HOLDER_QUERY_MS,
@@ -323,7 +323,7 @@
     timeline.record(EventKind.OWNERSHIP_CHANGED, {
       owners: this.members.owners().length,
       transfers: plan.transfers.length,
-      adoptions: plan.adoptions.length,
+      adoptions: plan.takeovers.length,
     });
   }
 
--- a/src/recovery/handover.ts
+++ b/src/recovery/handover.ts
@@ -3,7 +3,7 @@
 import type {Ownership} from '../routing/ownership.js';
 
 /** A set of partitions whose entries go to one member. */
-export interface Transfer {
+export interface PartitionTransfer {
   readonly receiver: string;
   readonly partitions: ReadonlySet<number>;
   /** Every earlier holder is gone: what peers' answers left behind goes too. */
@@ -11,16 +11,16 @@
 }
 
 /** A partition that this daemon owns and whose state others may still have. */
-export interface Adoption {
+export interface PartitionTakeover {
   readonly partition: number;
   /** Holders before, and those that hold it by views without this daemon. */
-  readonly predecessors: readonly string[];
+  readonly formerHolders: readonly string[];
 }
 
 /** What a change of ownership asks of one daemon. */
 export interface HandoverPlan {
-  readonly transfers: readonly Transfer[];
-  readonly adoptions: readonly Adoption[];
+  readonly transfers: readonly PartitionTransfer[];
+  readonly takeovers: readonly PartitionTakeover[];
 }
 
 /** What the plan depends on. */
@@ -40,15 +40,18 @@
 export function planHandover(context: HandoverContext): HandoverPlan {
   return {
     transfers: planTransfers(context),
-    adoptions: PARTITIONS.flatMap(partition =>
+    takeovers: PARTITIONS.flatMap(partition =>
       planAdoption(partition, context),
     ),
   };
 }
 
 /** Groups the partitions to send by receiver and by how much is sent. */
-function planTransfers(context: HandoverContext): Transfer[] {
-  const groups = new Map<string, Transfer & {partitions: Set<number>}>();
+function planTransfers(context: HandoverContext): PartitionTransfer[] {
+  const groups = new Map<
+    string,
+    PartitionTransfer & {partitions: Set<number>}
+  >();
   PARTITIONS.forEach(partition => {
     const includeCached = hasNoHolderLeft(partition, context);
     if (!includeCached && !isSender(partition, context)) {
@@ -93,7 +96,10 @@
  * Another daemon that joined a moment ago may have owned the partition by the
  * views of some, unknown to this daemon until now; so it is asked as well.
  */
-function planAdoption(partition: number, context: HandoverContext): Adoption[] {
+function planAdoption(
+  partition: number,
+  context: HandoverContext,
+): PartitionTakeover[] {
   const {self, before, after, withoutSelf} = context;
   const earlier = before.holdersOf(partition);
   const rivals = withoutSelf.holdersOf(partition);
@@ -103,5 +109,7 @@
   const adopts =
     after.ownerOf(partition) === self &&
     (!earlier.includes(self) || rivals.some(id => !earlier.includes(id)));
-  return adopts && predecessors.length > 0 ? [{partition, predecessors}] : [];
+  return adopts && predecessors.length > 0
+    ? [{partition, formerHolders: predecessors}]
+    : [];
 }
--- a/src/routing/predecessors.ts
+++ b/src/routing/former-holders.ts
@@ -12,15 +12,15 @@
 }
 
 /** The earlier holders of all partitions that this daemon took over. */
-export class Predecessors {
+export class FormerHolders {
   /** By partition, the latest first. */
   private readonly predecessors = new Map<number, Predecessor[]>();
 
   private constructor(private readonly clock: Clock) {}
 
   /** Creates an empty record. */
-  static create(clock: Clock): Predecessors {
-    return new Predecessors(clock);
+  static create(clock: Clock): FormerHolders {
+    return new FormerHolders(clock);
   }
 
   /** Asks earlier holders for unknown flows of a partition until a deadline. */
--- a/src/routing/ownership.ts
+++ b/src/routing/ownership.ts
@@ -8,7 +8,7 @@
 import {PARTITION_COUNT} from './flow-key.js';
 
 /** A member that may own partitions. */
-export interface Candidacy {
+export interface OwnerCandidate {
   readonly id: string;
   readonly failureDomain: string;
 }
@@ -25,7 +25,7 @@
   private constructor(private readonly holders: readonly PartitionHolders[]) {}
 
   /** Computes the ownership among members; none means no owners. */
-  static create(members: readonly Candidacy[], hasher: Hasher): Ownership {
+  static create(members: readonly OwnerCandidate[], hasher: Hasher): Ownership {
     const partitions = members.length === 0 ? 0 : PARTITION_COUNT;
     const scored = members.map(member => ({
       member,
@@ -66,7 +66,7 @@
 
 /** A member with its score for each partition. */
 interface ScoredMember {
-  readonly member: Candidacy;
+  readonly member: OwnerCandidate;
   readonly scores: Uint32Array;
 }
 
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -19,7 +19,7 @@
 import {OpenFlowCounts} from './open-flow-counts.js';
 import {Ownership} from './ownership.js';
 import {LeastLoadedPlacement, type Placement} from './placement.js';
-import {Predecessors} from './predecessors.js';
+import {FormerHolders} from './former-holders.js';
 import {RevisionTables} from './revision-tables.js';
 import type {RoutingRevision} from './routed-address.js';
 import {ServerDirectory} from './server-directory.js';
@@ -93,14 +93,14 @@
   private readonly tables: RevisionTables;
   private readonly placement: Placement;
   /** Earlier holders of partitions that this daemon took over. */
-  readonly predecessors: Predecessors;
+  readonly formerHolders: FormerHolders;
   private updates: EntryUpdate[] = [];
   private view: RouterView;
 
   private constructor(private readonly options: RouterOptions) {
     this.flows = FlowTable.create(options.maximumEntries);
     this.flowCounts = OpenFlowCounts.create(options.run, options.hasher);
-    this.predecessors = Predecessors.create(options.clock);
+    this.formerHolders = FormerHolders.create(options.clock);
     this.keys = FlowKeys.create(options.hasher);
     const builder = TableBuilder.create(options.hasher, this.directory);
     this.tables = RevisionTables.create(builder, options.clock);
@@ -333,7 +333,7 @@
     }
     const partition = partitionOf(key);
     if (owner === this.options.self && this.view.isResponsive(owner)) {
-      const earlier = this.predecessors.of(partition);
+      const earlier = this.formerHolders.of(partition);
       // The question comes back: what nobody knows is decided here.
       return this.passAlong(
         key,
