--- a/bench/experiments/requests-faults.ts
+++ b/bench/experiments/requests-faults.ts
@@ -8,7 +8,7 @@
   createRequestCluster,
   judgeRequests,
   waitForRequests,
-  type Verdict,
+  type RequestVerdict,
 } from '../request-bench.js';
 import {
   brokenPromises,
@@ -23,7 +23,7 @@
 const DUPLICATES = 0.05;
 const STORE_DOWN_MS = 20_000;
 
-interface RunFigures extends Verdict {
+interface RunFigures extends RequestVerdict {
   /** Requests without an end that a planned stop or drain caused. */
   readonly cutOff: number;
   /** Answers a second. */
--- a/bench/request-bench.ts
+++ b/bench/request-bench.ts
@@ -75,7 +75,7 @@
 }
 
 /** The oracle's verdict on all requests of a cluster. */
-export interface Verdict {
+export interface RequestVerdict {
   readonly requests: number;
   /** Keys of payments that ran more than once. */
   readonly doubleRuns: number;
@@ -90,7 +90,7 @@
 }
 
 /** Compares what servers ran with what callers were told. */
-export async function judgeRequests(cluster: Cluster): Promise<Verdict> {
+export async function judgeRequests(cluster: Cluster): Promise<RequestVerdict> {
   const {outcomes} = await cluster.requests(true);
   const backends = await cluster.backendReports(undefined, {listKeys: true});
   const runs = new Map<string, number>();
--- a/src/entry/packet-task.ts
+++ b/src/entry/packet-task.ts
@@ -6,7 +6,7 @@
 import type {Log, LogFields} from '../ports/log.js';
 import {
   RefusalReason,
-  Verdict,
+  CookieVerdict,
   type CookieRefusal,
   type CookieRouter,
 } from '../routing/cookie-router.js';
@@ -43,7 +43,7 @@
     const {fabric, counters, clock, log, router, work} = this.options;
     this.lastPacketAt = clock.now();
     const decision = router.decide(packet);
-    if (decision.verdict !== Verdict.FORWARD) {
+    if (decision.verdict !== CookieVerdict.FORWARD) {
       this.refuse(packet, decision);
       return;
     }
@@ -69,7 +69,7 @@
         ? Metric.PACKETS_UNKNOWN_ADDRESS
         : Metric.PACKETS_UNROUTABLE,
     );
-    if (refusal.verdict === Verdict.RESET) {
+    if (refusal.verdict === CookieVerdict.RESET) {
       fabric.reset(packet);
     }
     log.info('packet-refused', {
--- a/src/routing/cookie-router.spec.ts
+++ b/src/routing/cookie-router.spec.ts
@@ -13,7 +13,7 @@
 import {
   CookieRouter,
   RefusalReason,
-  Verdict,
+  CookieVerdict,
   type CookieDecision,
 } from './cookie-router.js';
 import {LeastLoadedPlacement} from './placement.js';
@@ -328,13 +328,13 @@
     );
   bindTo(2, ['west', 'south']);
   const taken = openAll().map(decision =>
-    decision.verdict === Verdict.FORWARD ? decision.server.id : '',
+    decision.verdict === CookieVerdict.FORWARD ? decision.server.id : '',
   );
   assert.deepEqual([...new Set(taken)], ['i-2']);
   bindTo(3, ['south']);
   openAll().forEach(decision =>
     assert.deepEqual(decision, {
-      verdict: Verdict.RESET,
+      verdict: CookieVerdict.RESET,
       reason: RefusalReason.NO_SERVER,
     }),
   );
@@ -356,7 +356,7 @@
       return router.decide(createPacket({opens: true, sourcePort: port}));
     }).filter(
       decision =>
-        decision.verdict === Verdict.FORWARD && decision.server.id === id,
+        decision.verdict === CookieVerdict.FORWARD && decision.server.id === id,
     ).length;
   assert.equal(countAt('i-2'), 0);
   await clock.advance(2_001);
--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -23,13 +23,13 @@
 const REFUSAL_MARGIN_MS = 200;
 
 /** What becomes of a packet. */
-export const Verdict = {
+export const CookieVerdict = {
   FORWARD: 'forward',
   RESET: 'reset',
   DROP: 'drop',
 } as const;
 /** One of the values of `Verdict`. */
-export type Verdict = (typeof Verdict)[keyof typeof Verdict];
+export type CookieVerdict = (typeof CookieVerdict)[keyof typeof CookieVerdict];
 
 /** Why a packet is not forwarded. */
 export const RefusalReason = {
@@ -49,14 +49,14 @@
 
 /** Send the packet to a server. */
 export interface CookieForward {
-  readonly verdict: typeof Verdict.FORWARD;
+  readonly verdict: typeof CookieVerdict.FORWARD;
   readonly server: CatalogServer;
   readonly cookie: number;
 }
 
 /** Refuse the packet, aloud or silently. */
 export interface CookieRefusal {
-  readonly verdict: typeof Verdict.RESET | typeof Verdict.DROP;
+  readonly verdict: typeof CookieVerdict.RESET | typeof CookieVerdict.DROP;
   readonly reason: RefusalReason;
 }
 
@@ -131,9 +131,9 @@
     }
     if (this.isCutOff(packet, route, server)) {
       const reason = RefusalReason.SERVER_UNREACHABLE;
-      return {verdict: Verdict.RESET, reason};
+      return {verdict: CookieVerdict.RESET, reason};
     }
-    return {verdict: Verdict.FORWARD, server, cookie: packet.cookie};
+    return {verdict: CookieVerdict.FORWARD, server, cookie: packet.cookie};
   }
 
   /**
@@ -185,7 +185,7 @@
       catalog.isAuthoritative;
     return isGone
       ? this.refuse(packet, RefusalReason.SERVER_GONE)
-      : {verdict: Verdict.DROP, reason: RefusalReason.UNKNOWN_COOKIE};
+      : {verdict: CookieVerdict.DROP, reason: RefusalReason.UNKNOWN_COOKIE};
   }
 
   /** Places an opening packet; a copy of one goes to another server. */
@@ -206,7 +206,7 @@
     }
     this.flows.noteOpening(packet, server, now);
     this.choice.noteOpening(server, now);
-    return {verdict: Verdict.FORWARD, server, cookie};
+    return {verdict: CookieVerdict.FORWARD, server, cookie};
   }
 
   /** A copy that was overtaken by its flow's later packets goes where they went. */
@@ -215,17 +215,20 @@
     route: KnownRoute,
   ): CookieForward {
     const cookie = this.options.catalog.cookieOf(server, route) ?? NO_COOKIE;
-    return {verdict: Verdict.FORWARD, server, cookie};
+    return {verdict: CookieVerdict.FORWARD, server, cookie};
   }
 
   /** Refuses aloud only what the catalog surely does not hold. */
   private refuse(packet: CookiePacket, reason: RefusalReason): CookieRefusal {
     if (packet.resets) {
-      return {verdict: Verdict.DROP, reason: RefusalReason.NOTHING_TO_RESET};
+      return {
+        verdict: CookieVerdict.DROP,
+        reason: RefusalReason.NOTHING_TO_RESET,
+      };
     }
     return this.isCurrent()
-      ? {verdict: Verdict.RESET, reason}
-      : {verdict: Verdict.DROP, reason};
+      ? {verdict: CookieVerdict.RESET, reason}
+      : {verdict: CookieVerdict.DROP, reason};
   }
 
   /**
