--- a/src/admission/dispatcher.ts
+++ b/src/admission/dispatcher.ts
@@ -11,7 +11,7 @@
 import {OutcomeReason, ended, type Outcome} from './outcome.js';
 import {RequestQueue} from './request-queue.js';
 import {RetryBudget} from './retry-budget.js';
-import {SlotBeliefs} from './slot-beliefs.js';
+import {SlotEstimates} from './slot-estimates.js';
 
 /** Weight of the newest sample in the mean service time. */
 const MEAN_GAIN = 0.1;
@@ -67,7 +67,7 @@
 
 /** Runs the requests of one pool. */
 export class Dispatcher {
-  readonly beliefs: SlotBeliefs;
+  readonly slotEstimates: SlotEstimates;
   private readonly queue: RequestQueue<WaitingRequest>;
   private readonly budget: RetryBudget;
   private meanMs = FIRST_MEAN_MS;
@@ -76,7 +76,7 @@
   private running = 0;
 
   private constructor(private readonly options: DispatcherOptions) {
-    this.beliefs = SlotBeliefs.create(options);
+    this.slotEstimates = SlotEstimates.create(options);
     this.queue = RequestQueue.create(options.queueBound);
     this.budget = RetryBudget.create(options.retryShare);
   }
@@ -96,7 +96,7 @@
     servers: readonly {id: string; slots: number}[],
     daemons: readonly string[],
   ): void {
-    this.beliefs.use(servers, daemons);
+    this.slotEstimates.use(servers, daemons);
     this.pump();
   }
 
@@ -114,7 +114,7 @@
   }
 
   private refuseEarly(request: AdmittedRequest): Outcome | undefined {
-    if (this.beliefs.totalSlots === 0) {
+    if (this.slotEstimates.totalSlots === 0) {
       return ended(OutcomeReason.NO_SERVER, SHORTEST_RETRY_AFTER_MS);
     }
     const waitMs = this.expectedWaitMs(request.workspace);
@@ -129,7 +129,7 @@
     const others = Math.max(0, this.queue.workspaces - 1);
     const ahead = this.queue.sizeOf(workspace) * (others + 1);
     const before = Math.min(this.queue.size, ahead);
-    const slots = Math.max(1, this.beliefs.ownSlots);
+    const slots = Math.max(1, this.slotEstimates.ownSlots);
     return (before * this.meanMs) / slots;
   }
 
@@ -148,7 +148,7 @@
     }
     const startDeadline = request.startDeadline();
     if (startDeadline === undefined) {
-      this.beliefs.release(server);
+      this.slotEstimates.release(server);
       return ended(OutcomeReason.KEY_RANGE_NOT_HELD, SHORTEST_RETRY_AFTER_MS);
     }
     const tried = await this.tryHedged(request, server, startDeadline);
@@ -198,11 +198,11 @@
     request: AdmittedRequest,
     excluded: ReadonlySet<string>,
   ): Promise<string | Outcome> {
-    const usable = this.beliefs.hasOther(excluded)
+    const usable = this.slotEstimates.hasOther(excluded)
       ? excluded
       : new Set<string>();
     if (this.queue.size === 0) {
-      const server = this.beliefs.take(usable, this.budget.isOpen);
+      const server = this.slotEstimates.take(usable, this.budget.isOpen);
       if (server !== undefined) {
         return server;
       }
@@ -246,7 +246,7 @@
     this.timer?.cancel();
     this.timer = undefined;
     while (this.queue.size > 0) {
-      const server = this.beliefs.take(new Set(), this.budget.isOpen);
+      const server = this.slotEstimates.take(new Set(), this.budget.isOpen);
       if (server === undefined) {
         this.pumpLater();
         return;
@@ -257,8 +257,9 @@
   }
 
   private pumpLater(): void {
-    this.timer = this.options.clock.callAt(this.beliefs.nextChance(), () =>
-      this.pump(),
+    this.timer = this.options.clock.callAt(
+      this.slotEstimates.nextChance(),
+      () => this.pump(),
     );
   }
 
@@ -302,7 +303,7 @@
     if (this.queue.size > 0 || !this.budget.spend()) {
       return undefined;
     }
-    return this.beliefs.take(new Set([first]), true);
+    return this.slotEstimates.take(new Set([first]), true);
   }
 
   private async tryOnce(
@@ -358,10 +359,10 @@
     reply: RunReply,
   ): Try {
     if (!reply.started) {
-      this.beliefs.refuse(server, this.meanMs * OWN_PAUSE_MEANS);
+      this.slotEstimates.refuse(server, this.meanMs * OWN_PAUSE_MEANS);
       return {kind: 'not-started', server};
     }
-    this.beliefs.release(server, reply.busySlots);
+    this.slotEstimates.release(server, reply.busySlots);
     if (reply.attempt !== attempt || reply.key !== request.key) {
       return {kind: 'unknown', reason: OutcomeReason.WRONG_ANSWER};
     }
@@ -373,11 +374,11 @@
   private judgeFailure(server: string, failure: BackendFailure): Try {
     return match(failure)
       .with({type: 'BackendUnreachable'}, (): Try => {
-        this.beliefs.avoid(server);
+        this.slotEstimates.avoid(server);
         return {kind: 'not-started', server};
       })
       .with({type: 'BackendSilent'}, (): Try => {
-        this.beliefs.release(server);
+        this.slotEstimates.release(server);
         return {kind: 'unknown', reason: OutcomeReason.SERVER_SILENT};
       })
       .exhaustive();
--- a/src/admission/key-memory.ts
+++ b/src/admission/idempotency-keys.ts
@@ -9,10 +9,10 @@
 import type {Clock} from '../ports/clock.js';
 
 /** Time for which a key is remembered, in milliseconds. */
-export const REMEMBER_MS = 10 * 60_000;
+export const KEY_RETENTION_MS = 10 * 60_000;
 
 /** What is known of one key. */
-export interface RememberedKey {
+export interface IdempotencyRecord {
   /** Undefined: the request was let through and its outcome is not known. */
   readonly reply: CallerReply | undefined;
   /** Monotonic milliseconds. */
@@ -20,8 +20,8 @@
 }
 
 /** The keys of one range; the oldest expire first. */
-export class KeyMemory {
-  private readonly keys = new Map<string, RememberedKey>();
+export class IdempotencyKeys {
+  private readonly keys = new Map<string, IdempotencyRecord>();
 
   private constructor(
     private readonly clock: Clock,
@@ -29,8 +29,8 @@
   ) {}
 
   /** Creates an empty memory for at most `bound` keys. */
-  static create(clock: Clock, bound: number): KeyMemory {
-    return new KeyMemory(clock, bound);
+  static create(clock: Clock, bound: number): IdempotencyKeys {
+    return new IdempotencyKeys(clock, bound);
   }
 
   /** Keys remembered, expired ones included. */
@@ -45,7 +45,7 @@
   }
 
   /** What is known of a key. */
-  get(key: string): RememberedKey | undefined {
+  get(key: string): IdempotencyRecord | undefined {
     const known = this.keys.get(key);
     return known === undefined || known.deadline <= this.clock.now()
       ? undefined
@@ -54,7 +54,7 @@
 
   /** Remembers a key; without a reply its outcome is not known. */
   set(key: string, reply: CallerReply | undefined): void {
-    this.put(key, reply, this.clock.now() + REMEMBER_MS);
+    this.put(key, reply, this.clock.now() + KEY_RETENTION_MS);
   }
 
   /** Forgets a key whose request surely did not run. */
@@ -82,7 +82,7 @@
     return records.length;
   }
 
-  private recordOf(key: string, known: RememberedKey): KeyRecord {
+  private recordOf(key: string, known: IdempotencyRecord): KeyRecord {
     const left = known.deadline - this.clock.now();
     return {
       key,
--- a/src/admission/key-ranges.ts
+++ b/src/admission/key-ranges.ts
@@ -10,7 +10,7 @@
 import type {Clock} from '../ports/clock.js';
 import type {Peers} from '../ports/peers.js';
 import type {LeaseGrant, Store} from '../ports/store.js';
-import {KeyMemory} from './key-memory.js';
+import {IdempotencyKeys} from './idempotency-keys.js';
 
 /** Number of ranges; one lease each. */
 export const RANGE_COUNT = 64;
@@ -48,7 +48,7 @@
 /** One range as this daemon sees it. */
 export interface HeldRange {
   readonly range: number;
-  readonly memory: KeyMemory;
+  readonly memory: IdempotencyKeys;
   /** End of the lease, monotonic milliseconds; 0: not held. */
   leaseDeadline: number;
   /** Whether the earlier holder's keys are here and copies are arranged. */
@@ -86,7 +86,7 @@
   private constructor(private readonly options: KeyRangesOptions) {
     this.ranges = Array.from({length: RANGE_COUNT}, (_, range) => ({
       range,
-      memory: KeyMemory.create(options.clock, KEYS_A_RANGE),
+      memory: IdempotencyKeys.create(options.clock, KEYS_A_RANGE),
       leaseDeadline: 0,
       prepared: false,
       backup: '',
--- a/src/admission/leased-key-guard.ts
+++ b/src/admission/leased-key-guard.ts
@@ -4,7 +4,7 @@
 import type {Clock} from '../ports/clock.js';
 import type {Hasher} from '../ports/hasher.js';
 import {KeyGuard, type GuardedRequest} from './key-guard.js';
-import {REMEMBER_MS} from './key-memory.js';
+import {KEY_RETENTION_MS} from './idempotency-keys.js';
 import {RANGE_COUNT, type HeldRange, type KeyRanges} from './key-ranges.js';
 import {
   OutcomeReason,
@@ -136,7 +136,7 @@
     range: HeldRange,
   ): Outcome | undefined {
     const {issuedMs} = request;
-    if (issuedMs < this.clock.wall() - REMEMBER_MS + CLOCK_MARGIN_MS) {
+    if (issuedMs < this.clock.wall() - KEY_RETENTION_MS + CLOCK_MARGIN_MS) {
       return ended(OutcomeReason.KEY_TOO_OLD);
     }
     return issuedMs < range.memoryStartMs + CLOCK_MARGIN_MS
@@ -172,7 +172,7 @@
   return {
     key,
     reply: undefined,
-    secondsLeft: REMEMBER_MS / 1_000,
+    secondsLeft: KEY_RETENTION_MS / 1_000,
     freed: false,
   };
 }
--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -4,14 +4,14 @@
  */
 
 /** What the queue needs to know of a request. */
-export interface Waiting {
+export interface QueuedRequest {
   readonly workspace: string;
   /** Monotonic milliseconds. */
   readonly deadline: number;
 }
 
 /** A bounded queue a pool of servers. */
-export class RequestQueue<T extends Waiting> {
+export class RequestQueue<T extends QueuedRequest> {
   /** By workspace, each list in the order of deadlines. */
   private readonly lists = new Map<string, T[]>();
   private count = 0;
@@ -19,7 +19,7 @@
   private constructor(private readonly bound: number) {}
 
   /** Creates a queue; each workspace may have `bound` requests in it. */
-  static create<T extends Waiting>(bound: number): RequestQueue<T> {
+  static create<T extends QueuedRequest>(bound: number): RequestQueue<T> {
     return new RequestQueue<T>(bound);
   }
 
--- a/src/admission/slot-beliefs.ts
+++ b/src/admission/slot-estimates.ts
@@ -34,7 +34,7 @@
 }
 
 /** What beliefs are made from. */
-export interface SlotBeliefsOptions {
+export interface SlotEstimatesOptions {
   readonly clock: Clock;
   readonly hasher: Hasher;
   /** This daemon's id. */
@@ -42,15 +42,15 @@
 }
 
 /** Beliefs of one daemon about one pool. */
-export class SlotBeliefs {
+export class SlotEstimates {
   private servers: ServerBelief[] = [];
   private turn = 0;
 
-  private constructor(private readonly options: SlotBeliefsOptions) {}
+  private constructor(private readonly options: SlotEstimatesOptions) {}
 
   /** Creates beliefs about no server. */
-  static create(options: SlotBeliefsOptions): SlotBeliefs {
-    return new SlotBeliefs(options);
+  static create(options: SlotEstimatesOptions): SlotEstimates {
+    return new SlotEstimates(options);
   }
 
   /** Slots of all servers in use. */
--- a/src/index.ts
+++ b/src/index.ts
@@ -119,7 +119,10 @@
   type DispatcherOptions,
 } from './admission/dispatcher.js';
 export {RetryBudget} from './admission/retry-budget.js';
-export {RequestQueue, type Waiting} from './admission/request-queue.js';
+export {
+  RequestQueue,
+  type QueuedRequest as Waiting,
+} from './admission/request-queue.js';
 export {OutcomeReason, statusOf, type Outcome} from './admission/outcome.js';
 export {KeyRanges, type RangeView} from './admission/key-ranges.js';
 export {LeasedKeyGuard} from './admission/leased-key-guard.js';
