--- a/bench/experiments/placing.ts
+++ b/bench/experiments/placing.ts
@@ -8,7 +8,10 @@
   type Candidate,
 } from '../../src/routing/placement.js';
 import {Random} from '../../src/routing/random.js';
-import {CookieWorld, type WorldPlan} from '../../standins/cookie-world.js';
+import {
+  SimulatedPlatform,
+  type SimulationPlan,
+} from '../../standins/simulated-platform.js';
 import {round} from '../measures.js';
 import type {Experiment, ExperimentContext} from './experiment.js';
 import {createRoute} from '../../standins/catalog-records.js';
@@ -96,7 +99,7 @@
   placement: Placement,
 ) {
   context.say(`${placement.constructor.name} under ${load}`);
-  const world = await CookieWorld.create(
+  const world = await SimulatedPlatform.create(
     planOf(context.seed, placement),
     hasher,
   );
@@ -117,7 +120,7 @@
   };
 }
 
-function planOf(seed: number, placement: Placement): WorldPlan {
+function planOf(seed: number, placement: Placement): SimulationPlan {
   return {
     seed,
     daemons: 8,
--- a/src/cli/flow-story.spec.ts
+++ b/src/cli/flow-story.spec.ts
@@ -4,7 +4,7 @@
 import {join} from 'node:path';
 import {test} from 'node:test';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
-import {CookieWorld} from '../../standins/cookie-world.js';
+import {SimulatedPlatform} from '../../standins/simulated-platform.js';
 import type {LoggedLine} from '../../standins/memory-log.js';
 import {formatIpv4} from '../routing/ipv4.js';
 import {tellFlowStory} from './flow-story.js';
@@ -13,7 +13,7 @@
 
 const PAY = createRoute('pay', {address: 0xc6120001, port: 443});
 
-async function createWorld(): Promise<CookieWorld> {
+async function createWorld(): Promise<SimulatedPlatform> {
   const plan = {
     seed: 3,
     daemons: 3,
@@ -22,7 +22,7 @@
     routes: [PAY],
     bounds: {drainMs: 3_000, configurationMs: 3_000, evacuationMs: 3_000},
   };
-  return CookieWorld.create(plan, await XxhashHasher.create());
+  return SimulatedPlatform.create(plan, await XxhashHasher.create());
 }
 
 /** Writes what a world logged as files, one a process, and reads them again. */
--- a/src/entry/entry-daemon.spec.ts
+++ b/src/entry/entry-daemon.spec.ts
@@ -3,8 +3,11 @@
 import fc from 'fast-check';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
 import {OutageKind} from '../../standins/catalog-store.js';
-import {CookieWorld, type WorldPlan} from '../../standins/cookie-world.js';
-import {strike} from '../../standins/world-faults.js';
+import {
+  SimulatedPlatform,
+  type SimulationPlan,
+} from '../../standins/simulated-platform.js';
+import {injectFault} from '../../standins/platform-faults.js';
 import {createRoute} from '../../standins/catalog-records.js';
 
 const BOUNDS = {drainMs: 3_000, configurationMs: 3_000, evacuationMs: 3_000};
@@ -15,7 +18,7 @@
   repeatable: true,
 });
 const LONG_CALL_MS = 20_000;
-const PLAN: WorldPlan = {
+const PLAN: SimulationPlan = {
   seed: 1,
   daemons: 5,
   failureDomains: ['a', 'b'],
@@ -27,13 +30,16 @@
   bounds: BOUNDS,
 };
 
-async function createWorld(plan: Partial<WorldPlan> = {}) {
-  return CookieWorld.create({...PLAN, ...plan}, await XxhashHasher.create());
+async function createWorld(plan: Partial<SimulationPlan> = {}) {
+  return SimulatedPlatform.create(
+    {...PLAN, ...plan},
+    await XxhashHasher.create(),
+  );
 }
 
 /** Starts callers every `everyMs` for a while; each sends some requests. */
 async function callFor(
-  world: CookieWorld,
+  world: SimulatedPlatform,
   lastsMs: number,
   everyMs = 20,
 ): Promise<void> {
@@ -310,10 +316,10 @@
       fc.integer({min: 1, max: 1e6}),
       FAULTS,
       async (seed, faults) => {
-        const world = await CookieWorld.create({...PLAN, seed}, hasher);
+        const world = await SimulatedPlatform.create({...PLAN, seed}, hasher);
         for (const fault of faults) {
           await callFor(world, fault.afterMs, 50);
-          strike(world, fault, [PAY, DOCS]);
+          injectFault(world, fault, [PAY, DOCS]);
         }
         await callFor(world, 5_000, 50);
         const flows = world.broken.filter(
--- a/src/entry/evacuation.spec.ts
+++ b/src/entry/evacuation.spec.ts
@@ -9,8 +9,11 @@
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
 import {OutageKind} from '../../standins/catalog-store.js';
 import type {CookieCaller} from '../../standins/cookie-callers.js';
-import {CookieWorld, type WorldPlan} from '../../standins/cookie-world.js';
-import {strike} from '../../standins/world-faults.js';
+import {
+  SimulatedPlatform,
+  type SimulationPlan,
+} from '../../standins/simulated-platform.js';
+import {injectFault} from '../../standins/platform-faults.js';
 import {createRoute} from '../../standins/catalog-records.js';
 
 const BOUNDS = {drainMs: 5_000, configurationMs: 5_000, evacuationMs: 5_000};
@@ -25,9 +28,9 @@
 
 async function createWorld(
   daemons = 6,
-  plan: Partial<WorldPlan> = {},
-): Promise<CookieWorld> {
-  return CookieWorld.create(
+  plan: Partial<SimulationPlan> = {},
+): Promise<SimulatedPlatform> {
+  return SimulatedPlatform.create(
     {
       seed: 5,
       daemons,
@@ -46,7 +49,7 @@
 
 /** Domains of the servers that take the flows of new callers. */
 async function domainsTaken(
-  world: CookieWorld,
+  world: SimulatedPlatform,
   count = 60,
 ): Promise<Map<string, number>> {
   const callers = Array.from({length: count}, () => world.call(PAY, 1, 3_000));
@@ -55,7 +58,7 @@
 }
 
 function countDomains(
-  world: CookieWorld,
+  world: SimulatedPlatform,
   callers: readonly CookieCaller[],
 ): Map<string, number> {
   const domains = new Map<string, number>();
@@ -67,7 +70,7 @@
 }
 
 /** Daemons that run and do not know a domain as evacuated. */
-function ignorant(world: CookieWorld, domain: string): string[] {
+function ignorant(world: SimulatedPlatform, domain: string): string[] {
   return [...world.daemons.values()].flatMap(({name, running}) =>
     running === undefined || running.catalog.evacuatedDomains().includes(domain)
       ? []
@@ -76,7 +79,10 @@
 }
 
 /** Evacuates a domain; until all daemons know it, in milliseconds. */
-async function timeToKnow(world: CookieWorld, domain: string): Promise<number> {
+async function timeToKnow(
+  world: SimulatedPlatform,
+  domain: string,
+): Promise<number> {
   const from = world.clock.now();
   world.evacuate(domain);
   while (ignorant(world, domain).length > 0) {
@@ -87,7 +93,10 @@
 }
 
 /** Starts a caller each 20 ms for a while. */
-async function callFor(world: CookieWorld, lastsMs: number): Promise<void> {
+async function callFor(
+  world: SimulatedPlatform,
+  lastsMs: number,
+): Promise<void> {
   const rounds = Math.floor(lastsMs / 20);
   for (let round = 0; round < rounds; round += 1) {
     world.call(round % 3 === 0 ? DOCS : PAY, 1 + (round % 4), 3_000);
@@ -231,7 +240,7 @@
 });
 
 /** Troubles that last while a domain is evacuated; daemons that are bound know in time. */
-const TROUBLES: Readonly<Record<string, (world: CookieWorld) => void>> = {
+const TROUBLES: Readonly<Record<string, (world: SimulatedPlatform) => void>> = {
   'a third turned away by the store': world =>
     turnAway(world, (_name, index) => index % 3 === 0),
   'all but five turned away by the store': world =>
@@ -258,7 +267,7 @@
 };
 
 function turnAway(
-  world: CookieWorld,
+  world: SimulatedPlatform,
   isMet: (name: string, index: number) => boolean,
 ): void {
   [...world.daemons.keys()]
@@ -266,7 +275,7 @@
     .forEach(name => world.store.outages.set(name, OutageKind.BUSY));
 }
 
-function forgetEvery(world: CookieWorld, everyMs: number): void {
+function forgetEvery(world: SimulatedPlatform, everyMs: number): void {
   world.store.forgetHistory();
   world.clock.callAt(world.clock.now() + everyMs, () =>
     forgetEvery(world, everyMs),
@@ -274,7 +283,7 @@
 }
 
 /** Daemons that wait at the store, by their own last word on it. */
-function readersOf(world: CookieWorld): string[] {
+function readersOf(world: SimulatedPlatform): string[] {
   const waits = new Map<string, boolean>();
   world.lines
     .filter(({event}) => event === 'reader-changed')
@@ -325,7 +334,7 @@
         const world = await createWorld(6, {seed});
         for (const fault of faults) {
           await callFor(world, fault.afterMs);
-          strike(world, fault, [PAY, DOCS]);
+          injectFault(world, fault, [PAY, DOCS]);
         }
         await callFor(world, 9_000);
         assert.deepEqual(world.broken, []);
--- a/src/entry/flow-terminator.spec.ts
+++ b/src/entry/flow-terminator.spec.ts
@@ -9,9 +9,12 @@
 import {OutageKind} from '../../standins/catalog-store.js';
 import type {CookieCaller} from '../../standins/cookie-callers.js';
 import type {CookieServer} from '../../standins/cookie-servers.js';
-import {CookieWorld, type WorldPlan} from '../../standins/cookie-world.js';
+import {
+  SimulatedPlatform,
+  type SimulationPlan,
+} from '../../standins/simulated-platform.js';
 import {createRoute} from '../../standins/catalog-records.js';
-import {strike} from '../../standins/world-faults.js';
+import {injectFault} from '../../standins/platform-faults.js';
 
 const BOUNDS = {drainMs: 3_000, configurationMs: 3_000, evacuationMs: 3_000};
 const PAY = createRoute('pay', {address: 0xc6120001, port: 443});
@@ -21,8 +24,8 @@
 const LONG_WORK_MS = 30_000;
 const FEEDBACK = {feedback: true, pressure: false};
 
-async function createWorld(plan: Partial<WorldPlan> = {}) {
-  return CookieWorld.create(
+async function createWorld(plan: Partial<SimulationPlan> = {}) {
+  return SimulatedPlatform.create(
     {
       seed: 7,
       daemons: 30,
@@ -39,7 +42,9 @@
 }
 
 /** A world whose servers work on each request for longer than a test lasts. */
-function createBusyWorld(plan: Partial<WorldPlan> = {}): Promise<CookieWorld> {
+function createBusyWorld(
+  plan: Partial<SimulationPlan> = {},
+): Promise<SimulatedPlatform> {
   const services = [
     {name: 'pay', servers: 10, slots: 20, workMs: LONG_WORK_MS},
   ];
@@ -48,7 +53,7 @@
 
 /** Opens flows over a second or a pause, with such a pause after each answer. */
 async function openFlows(
-  world: CookieWorld,
+  world: SimulatedPlatform,
   count: number,
   pauseMs = 0,
 ): Promise<CookieCaller[]> {
@@ -76,7 +81,7 @@
   return callers.filter(({ending}) => ending !== undefined);
 }
 
-function linesOf(world: CookieWorld, kind: string) {
+function linesOf(world: SimulatedPlatform, kind: string) {
   return world.lines.filter(({event}) => event === kind);
 }
 
@@ -180,7 +185,7 @@
 });
 
 /** Callers whose requests may not be repeated, at 84 servers with a long pause. */
-async function playSilence(features: WorldPlan['features']) {
+async function playSilence(features: SimulationPlan['features']) {
   const services = [{name: 'pay', servers: 84, slots: 2, workMs: 20}];
   const world = await createWorld({services, features});
   const callers = await openFlows(world, 1_000, 4_000);
@@ -367,7 +372,7 @@
       fc.boolean(),
       FAULTS,
       async (seed, isOn, faults) => {
-        const world = await CookieWorld.create(
+        const world = await SimulatedPlatform.create(
           {
             seed,
             daemons: 5,
@@ -388,7 +393,7 @@
         Array.from({length: 30}, (_call, index) => call(index));
         for (const fault of faults) {
           await world.clock.advance(fault.afterMs);
-          strike(world, fault, [PAY, DOCS]);
+          injectFault(world, fault, [PAY, DOCS]);
           Array.from({length: 6}, (_call, index) => call(index));
         }
         await world.clock.advance(10_000);
--- a/src/entry/large-fleet.spec.ts
+++ b/src/entry/large-fleet.spec.ts
@@ -7,7 +7,7 @@
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
 import {formatIpv4} from '../routing/ipv4.js';
 import {OutageKind} from '../../standins/catalog-store.js';
-import {CookieWorld} from '../../standins/cookie-world.js';
+import {SimulatedPlatform} from '../../standins/simulated-platform.js';
 import {createRoute} from '../../standins/catalog-records.js';
 
 const ROUTE = createRoute('pay', {address: 0xc6120001, port: 443});
@@ -15,8 +15,8 @@
 const CALM_MS = 20_000;
 
 /** A fleet that has started and serves nobody. */
-async function createFleet(daemons: number): Promise<CookieWorld> {
-  return CookieWorld.create(
+async function createFleet(daemons: number): Promise<SimulatedPlatform> {
+  return SimulatedPlatform.create(
     {
       seed: daemons,
       daemons,
@@ -30,7 +30,7 @@
 }
 
 /** Daemons that wait at the store, by their own last word on it. */
-function readersOf(world: CookieWorld): string[] {
+function readersOf(world: SimulatedPlatform): string[] {
   const waits = new Map<string, boolean>();
   world.lines
     .filter(({event}) => event === 'reader-changed')
@@ -130,19 +130,19 @@
 });
 
 /** What daemons told of peers since a line, as "who told: of whom". */
-function lostSince(world: CookieWorld, firstLine: number): string[] {
+function lostSince(world: SimulatedPlatform, firstLine: number): string[] {
   return world.lines
     .slice(firstLine)
     .filter(({event}) => event === 'peer-lost')
     .map(({process, fields}) => `${process}: ${fields['peer']}`);
 }
 
-function addressOf(world: CookieWorld, name: string): string {
+function addressOf(world: SimulatedPlatform, name: string): string {
   return formatIpv4(world.daemonOf(name).settings.address);
 }
 
 /** Versions that the running daemons hold. */
-function versionsOf(world: CookieWorld): Set<number> {
+function versionsOf(world: SimulatedPlatform): Set<number> {
   return new Set(
     [...world.daemons.values()].flatMap(({running}) =>
       running === undefined ? [] : [running.catalog.stamp.routeVersion],
--- a/src/entry/silent-servers.spec.ts
+++ b/src/entry/silent-servers.spec.ts
@@ -7,7 +7,7 @@
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
 import type {CookieCaller} from '../../standins/cookie-callers.js';
 import type {CookieServer} from '../../standins/cookie-servers.js';
-import {CookieWorld} from '../../standins/cookie-world.js';
+import {SimulatedPlatform} from '../../standins/simulated-platform.js';
 import {createRoute} from '../../standins/catalog-records.js';
 
 const BOUNDS = {drainMs: 3_000, configurationMs: 3_000, evacuationMs: 3_000};
@@ -26,8 +26,8 @@
   daemons: number,
   failureDomains = ['a', 'b', 'c', 'd', 'e'],
   workMs = 100,
-): Promise<CookieWorld> {
-  return CookieWorld.create(
+): Promise<SimulatedPlatform> {
+  return SimulatedPlatform.create(
     {
       seed: 5,
       daemons,
@@ -45,7 +45,7 @@
 
 /** Opens flows that send one request after the other. */
 async function openFlows(
-  world: CookieWorld,
+  world: SimulatedPlatform,
   route: typeof PAY,
   count: number,
 ): Promise<CookieCaller[]> {
--- a/src/entry/start.spec.ts
+++ b/src/entry/start.spec.ts
@@ -5,7 +5,7 @@
 import {encodeSnapshot} from '../catalog/catalog-messages.js';
 import type {EntryDaemon} from './entry-daemon.js';
 import {OutageKind, STORE_LINK} from '../../standins/catalog-store.js';
-import {CookieWorld} from '../../standins/cookie-world.js';
+import {SimulatedPlatform} from '../../standins/simulated-platform.js';
 import {createRoute} from '../../standins/catalog-records.js';
 
 const BOUNDS = {drainMs: 3_000, configurationMs: 3_000, evacuationMs: 3_000};
@@ -22,8 +22,8 @@
 async function createKilledFleet(
   daemons: number,
   linksMbps?: readonly number[],
-): Promise<CookieWorld> {
-  const world = await CookieWorld.create(
+): Promise<SimulatedPlatform> {
+  const world = await SimulatedPlatform.create(
     {
       seed: 1,
       daemons,
@@ -45,13 +45,13 @@
   return world;
 }
 
-async function startAll(world: CookieWorld): Promise<void> {
+async function startAll(world: SimulatedPlatform): Promise<void> {
   const names = [...world.daemons.keys()];
   await Promise.all(names.map(name => world.startDaemon(name)));
 }
 
 /** Starts one daemon and waits until it has a copy. */
-async function startOne(world: CookieWorld): Promise<EntryDaemon> {
+async function startOne(world: SimulatedPlatform): Promise<EntryDaemon> {
   await world.startDaemon('d0');
   await world.clock.advance(1_000);
   const running = world.daemons.get('d0')?.running;
@@ -59,7 +59,7 @@
   return running;
 }
 
-function versionsOf(world: CookieWorld): number[] {
+function versionsOf(world: SimulatedPlatform): number[] {
   return [...world.daemons.values()].map(
     ({running}) => running?.catalog.stamp.routeVersion ?? 0,
   );
@@ -121,7 +121,7 @@
 
 /** Starts all daemons of a killed fleet; returns when the first ones had a copy. */
 async function timeStarts(
-  world: CookieWorld,
+  world: SimulatedPlatform,
   slowAfterMs: number,
 ): Promise<number[]> {
   const {clock} = world;
@@ -150,7 +150,7 @@
       ...PAY,
       address: PAY.address + index,
     }));
-    const world = await CookieWorld.create(
+    const world = await SimulatedPlatform.create(
       {
         seed: 3,
         daemons: 195,
@@ -189,7 +189,7 @@
     port: 1_000 + index,
   }));
   const bounds = {...BOUNDS, configurationMs: 5_000, evacuationMs: 5_000};
-  const world = await CookieWorld.create(
+  const world = await SimulatedPlatform.create(
     {
       seed: 4,
       daemons: 22,
@@ -217,7 +217,7 @@
     ...PAY,
     port: 1_000 + index,
   }));
-  const world = await CookieWorld.create(
+  const world = await SimulatedPlatform.create(
     {
       seed: 6,
       daemons: 85,
--- a/standins/world-faults.ts
+++ b/standins/platform-faults.ts
@@ -1,10 +1,10 @@
 /** Faults of an emulated platform, drawn by number, that end by themselves. */
 import type {CatalogRoute} from '../src/catalog/records.js';
 import {OutageKind} from './catalog-store.js';
-import type {CookieWorld} from './cookie-world.js';
+import type {SimulatedPlatform} from './simulated-platform.js';
 
 /** One fault; which daemon or server it strikes is a number, whatever there are. */
-export interface WorldFault {
+export interface PlatformFault {
   readonly kind: string;
   readonly which: number;
   /** How long it lasts, in milliseconds. */
@@ -17,9 +17,9 @@
  * Brings a fault about and has it end by itself; `routes` are the two that are
  * published at first.
  */
-export function strike(
-  world: CookieWorld,
-  fault: WorldFault,
+export function injectFault(
+  world: SimulatedPlatform,
+  fault: PlatformFault,
   routes: readonly [CatalogRoute, CatalogRoute],
 ): void {
   const [first] = routes;
--- a/standins/world-fabric.ts
+++ b/standins/simulated-fabric.ts
@@ -20,7 +20,7 @@
 }
 
 /** The fabric of one daemon. */
-export class WorldFabric extends CookieFabric {
+export class SimulatedFabric extends CookieFabric {
   private handle: ((packet: CookiePacket) => void) | undefined;
   private isClosed = false;
 
@@ -32,8 +32,8 @@
   }
 
   /** Creates the fabric of a daemon. */
-  static create(ways: PacketWays, daemon: string): WorldFabric {
-    return new WorldFabric(ways, daemon);
+  static create(ways: PacketWays, daemon: string): SimulatedFabric {
+    return new SimulatedFabric(ways, daemon);
   }
 
   onPacket(handle: (packet: CookiePacket) => void): void {
--- a/standins/cookie-world.ts
+++ b/standins/simulated-platform.ts
@@ -36,7 +36,7 @@
   type BrokenPromise,
   type PromiseBounds,
 } from './promise-judge.js';
-import {WorldFabric} from './world-fabric.js';
+import {SimulatedFabric} from './simulated-fabric.js';
 
 /** One way between any two processes, in milliseconds. */
 const WAY_MS = 1;
@@ -62,7 +62,7 @@
 const NO_FEATURES: EntryFeatures = {feedback: false, pressure: false};
 
 /** How the world is laid out. */
-export interface WorldPlan {
+export interface SimulationPlan {
   readonly seed: number;
   readonly daemons: number;
   readonly failureDomains: readonly string[];
@@ -90,11 +90,11 @@
 }
 
 /** One daemon, running or not. */
-export interface WorldDaemon extends CheckedDaemon {
+export interface SimulatedDaemon extends CheckedDaemon {
   readonly settings: EntrySettings;
   running: EntryDaemon | undefined;
   clock: ProcessClock;
-  fabric: WorldFabric;
+  fabric: SimulatedFabric;
 }
 
 /** Callers' ends by kind, and how long answered ones took. */
@@ -104,12 +104,12 @@
 }
 
 /** The world. */
-export class CookieWorld {
+export class SimulatedPlatform {
   readonly clock = FakeClock.create();
   readonly random: Random;
   readonly store: CatalogStore;
   readonly network: ChannelNetwork;
-  readonly daemons = new Map<string, WorldDaemon>();
+  readonly daemons = new Map<string, SimulatedDaemon>();
   readonly lines: LoggedLine[] = [];
   /** Daemons whose packets do not reach servers. */
   readonly cutFromServers = new Set<string>();
@@ -125,7 +125,7 @@
   private restarts = 0;
 
   private constructor(
-    private readonly plan: WorldPlan,
+    private readonly plan: SimulationPlan,
     private readonly hasher: Hasher,
   ) {
     this.random = Random.create(plan.seed);
@@ -155,8 +155,11 @@
   }
 
   /** Creates a world whose daemons run and whose routes are published. */
-  static async create(plan: WorldPlan, hasher: Hasher): Promise<CookieWorld> {
-    const world = new CookieWorld(plan, hasher);
+  static async create(
+    plan: SimulationPlan,
+    hasher: Hasher,
+  ): Promise<SimulatedPlatform> {
+    const world = new SimulatedPlatform(plan, hasher);
     if (plan.storeLinkMbps !== undefined) {
       world.network.links.setRate(STORE_LINK, plan.storeLinkMbps);
     }
@@ -295,7 +298,7 @@
   async startDaemon(name: string, isFirstStart = false): Promise<void> {
     const daemon = this.daemonOf(name);
     daemon.clock = ProcessClock.create(this.clock);
-    daemon.fabric = WorldFabric.create(this, name);
+    daemon.fabric = SimulatedFabric.create(this, name);
     const {clock, fabric} = daemon;
     const settings = {...daemon.settings, isFirstStart};
     const {address} = settings;
@@ -362,7 +365,7 @@
   }
 
   /** A daemon by name. */
-  daemonOf(name: string): WorldDaemon {
+  daemonOf(name: string): SimulatedDaemon {
     const daemon = this.daemons.get(name);
     if (daemon === undefined) {
       throw new Error(`no daemon ${name} in this world`);
@@ -439,7 +442,7 @@
       },
       running: undefined,
       clock: ProcessClock.create(this.clock),
-      fabric: WorldFabric.create(this, name),
+      fabric: SimulatedFabric.create(this, name),
       misses: 0,
       isIn: false,
     });
