--- a/src/catalog/address-owners.ts
+++ b/src/catalog/address-owners.ts
@@ -1,104 +1,121 @@
 /**
- * Which server came last to each address: the others that were there have ended. A
- * server that starts again may come to another address, and an address may be given to
- * a server of another service.
+ * Tracks which listed server registered last at each address; earlier ones there have
+ * ended. A restarted server may have another address, and an address may be reused by a
+ * server of another service.
  */
 import {destinationKey} from '../routing/flow-key.js';
 import type {CatalogServer} from './records.js';
 
-/** A server at an address. */
+/** The server that registered last at an address. */
 interface AddressOwner {
   readonly id: string;
-  /** Revision of the store by which it had come there. */
-  readonly cameAt: number;
+  /** Store revision by which the server had registered at the address. */
+  readonly claimedAtRevision: number;
 }
 
-/** The listed servers by their addresses. */
+/** Owners of the addresses of listed servers. */
 export class AddressOwners {
-  /** The server that came last to each address. */
-  private readonly newest = new Map<number, AddressOwner>();
-  /** When each listed server had come to its address, and which that is. */
-  private readonly arrivals = new Map<string, {key: number; cameAt: number}>();
-  /** Servers whose address a later server has taken: they have ended. */
-  private readonly succeeded = new Set<string>();
-  /** Those of them that were not asked for yet. */
-  private newlySucceeded: string[] = [];
+  /** Owners by `destinationKey` of the address. */
+  private readonly owners = new Map<number, AddressOwner>();
+  /** Address and claim revision of each listed server, by id. */
+  private readonly claims = new Map<
+    string,
+    {key: number; claimedAtRevision: number}
+  >();
+  /** Ids of servers whose address a newer server has taken. */
+  private readonly superseded = new Set<string>();
+  /** Superseded ids that `takeSuperseded` has not returned yet. */
+  private newlySuperseded: string[] = [];
 
   private constructor() {}
 
-  /** Creates a record without servers. */
   static create(): AddressOwners {
     return new AddressOwners();
   }
 
-  /** Whether a later server has the address of a listed one. */
-  isSucceeded(id: string): boolean {
-    return this.succeeded.has(id);
+  /** Whether a newer server has taken the address of a listed one. */
+  isSuperseded(id: string): boolean {
+    return this.superseded.has(id);
   }
 
-  /** Ids of servers that were succeeded since this was asked last. */
-  takeSucceeded(): string[] {
-    const ids = this.newlySucceeded;
-    this.newlySucceeded = [];
+  /** Returns the ids of servers superseded since the last call. */
+  takeSuperseded(): string[] {
+    const ids = this.newlySuperseded;
+    this.newlySuperseded = [];
     return ids;
   }
 
   /**
-   * Takes a server's record in place of the one known before; returns the id of a server
-   * that has ended by it, which may be the server itself.
+   * Replaces a server's known record by a newer one. Returns the id of the server that is
+   * superseded at the address, which may be this server itself; undefined: none.
    */
   put(
     server: CatalogServer,
     known: CatalogServer | undefined,
   ): string | undefined {
     const key = destinationKey(server.address, server.port);
-    const hasCome =
+    const isNewClaim =
       known?.startTime !== server.startTime ||
-      this.arrivals.get(server.id)?.key !== key;
-    if (hasCome) {
-      const isBack = this.arrivals.has(server.id);
-      this.forget(server.id);
-      this.arrivals.set(server.id, {key, cameAt: arrivalOf(server, isBack)});
+      this.claims.get(server.id)?.key !== key;
+    if (isNewClaim) {
+      const isReturning = this.claims.has(server.id);
+      this.release(server.id);
+      this.claims.set(server.id, {
+        key,
+        claimedAtRevision: claimRevisionOf(server, isReturning),
+      });
     }
-    const cameAt = this.arrivals.get(server.id)?.cameAt ?? server.revision;
-    return this.settle(key, {id: server.id, cameAt});
+    const claimedAtRevision =
+      this.claims.get(server.id)?.claimedAtRevision ?? server.revision;
+    return this.resolveConflict(key, {
+      id: server.id,
+      claimedAtRevision,
+    });
   }
 
-  /** Forgets a server that is not listed any more, or has come elsewhere. */
-  forget(id: string): void {
-    const key = this.arrivals.get(id)?.key;
-    this.arrivals.delete(id);
-    this.succeeded.delete(id);
-    if (key !== undefined && this.newest.get(key)?.id === id) {
-      this.newest.delete(key);
+  /** Releases the claim of a server that left the list or has another address. */
+  release(id: string): void {
+    const key = this.claims.get(id)?.key;
+    this.claims.delete(id);
+    this.superseded.delete(id);
+    if (key !== undefined && this.owners.get(key)?.id === id) {
+      this.owners.delete(key);
     }
   }
 
-  /** Of two servers at one address, the one that came earlier has ended. */
-  private settle(key: number, owner: AddressOwner): string | undefined {
-    const other = this.newest.get(key);
-    if (other === undefined || other.cameAt <= owner.cameAt) {
-      this.newest.set(key, owner);
+  /** Marks the server with the older claim on an address as superseded. */
+  private resolveConflict(
+    key: number,
+    owner: AddressOwner,
+  ): string | undefined {
+    const other = this.owners.get(key);
+    if (
+      other === undefined ||
+      other.claimedAtRevision <= owner.claimedAtRevision
+    ) {
+      this.owners.set(key, owner);
     }
     if (other === undefined || other.id === owner.id) {
       return undefined;
     }
-    const ended = other.cameAt <= owner.cameAt ? other.id : owner.id;
-    if (!this.succeeded.has(ended)) {
-      this.succeeded.add(ended);
-      this.newlySucceeded.push(ended);
+    const ended =
+      other.claimedAtRevision <= owner.claimedAtRevision ? other.id : owner.id;
+    if (!this.superseded.has(ended)) {
+      this.superseded.add(ended);
+      this.newlySuperseded.push(ended);
     }
     return ended;
   }
 }
 
 /**
- * Revision by which a server had come to its address. The entry of one that started again
- * is older than this life, which came with the record at the latest.
+ * Returns the store revision by which a server had registered at its address. The entry
+ * of a restarted server was created by an earlier incarnation, so the revision of its
+ * newest record counts instead.
  */
-function arrivalOf(
+function claimRevisionOf(
   {startTime, createdRevision, revision}: CatalogServer,
-  isBack: boolean,
+  isReturning: boolean,
 ): number {
-  return startTime === 0 && !isBack ? createdRevision : revision;
+  return startTime === 0 && !isReturning ? createdRevision : revision;
 }
--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -1,6 +1,6 @@
 /**
- * One daemon's copy of routes and backend servers. Versions only grow: an older
- * listing than the one held changes nothing.
+ * A daemon's replica of the routes and backend servers in the store. Route versions and
+ * server revisions never decrease, so reads may arrive late or out of order.
  */
 import type {CatalogReading} from '../ports/catalog-source.js';
 import type {Hasher} from '../ports/hasher.js';
@@ -21,25 +21,23 @@
 import type {ServerChanges} from './server-table.js';
 
 /**
- * Time for which the servers of a restored domain count as cold whatever they say, in
- * milliseconds: a heartbeat of theirs (0.8 s) and its way here. They may have turned
- * cold just before, and the word of it may come after that of the restoration.
+ * How long all servers of a restored failure domain count as cold. A server that turned
+ * cold just before the restoration may report it only with its next heartbeat (0.8 s).
  */
-const UNSETTLED_MS = 1_000;
+const RESTORED_DOMAIN_COLD_MS = 1_000;
 
-/** What changed in the catalog. */
+/** A change of the catalog, as passed to listeners. */
 export interface CatalogChange extends AffectedServers {
-  /** The version taken; undefined when the routes did not change. */
+  /** The new route version; undefined when the routes did not change. */
   readonly routeVersion?: number;
-  /** Whether these are the first servers that were ever taken. */
+  /** Whether this is the first list of servers applied since the daemon started. */
   readonly isFirstListing: boolean;
-  /** Servers whose end is certain from now on; they may have departed long ago. */
+  /** Servers now known to have ended; they may have left the list earlier. */
   readonly ended: readonly CatalogServer[];
   /** Failure domains that were evacuated or restored. */
   readonly domains: readonly DomainChange[];
 }
 
-/** A change that alters nothing. */
 const NO_CHANGE: CatalogChange = {
   isFirstListing: false,
   changed: [],
@@ -50,34 +48,31 @@
   domains: [],
 };
 
-/** What another daemon told of the servers that it holds. */
+/** The state of a peer's server list, as gossiped by the peer. */
 export interface ServerAnnouncement {
   readonly revision: number;
   readonly digest: number;
   readonly routeVersion: number;
 }
 
-/** Told of each change after it was taken. */
+/** Called with each change after it was applied. */
 export type CatalogListener = (change: CatalogChange) => void;
 
-/** What a catalog is made from. */
+/** Options of a catalog. */
 export interface CatalogOptions {
   readonly hasher: Hasher;
-  /** Time for which a flow may live, in milliseconds. */
+  /** Maximum lifetime of a flow. */
   readonly flowLifetimeMs: number;
 }
 
-/** Routes and backend servers as one daemon knows them. */
+/** Routes and backend servers known to one daemon. */
 export class Catalog {
   private readonly servers: KnownServers;
   private readonly routes: RouteTable;
-  /** Masks of the cookies of routes that saw packets, by `destinationKey`. */
+  /** Cookie masks of routes that have received packets, by `destinationKey`. */
   private readonly cookieMasks = new Map<number, number>();
-  /**
-   * Until when the servers of a restored domain count as cold, by domain; monotonic
-   * milliseconds.
-   */
-  private readonly unsettledUntil = new Map<string, number>();
+  /** Monotonic milliseconds until which a restored domain's servers count as cold. */
+  private readonly domainColdUntil = new Map<string, number>();
   private readonly listeners: CatalogListener[] = [];
   private serverRevision = 0;
   private serversConfirmedAt = -Infinity;
@@ -86,21 +81,19 @@
     this.routes = RouteTable.create(options.flowLifetimeMs);
     this.servers = KnownServers.create({
       ...options,
-      isNamed: service => this.routes.names(service),
+      isDeclared: service => this.routes.declaresService(service),
     });
   }
 
-  /** Creates an empty catalog. */
   static create(options: CatalogOptions): Catalog {
     return new Catalog(options);
   }
 
-  /** Adds a listener. */
   onChange(listener: CatalogListener): void {
     this.listeners.push(listener);
   }
 
-  /** What tells this state apart from another daemon's. */
+  /** Version stamp that daemons compare to detect differing catalogs. */
   get stamp(): CatalogStamp {
     const {routes, serverRevision, serversConfirmedAt} = this;
     return {
@@ -112,27 +105,26 @@
     };
   }
 
-  /** Whether both routes and servers were ever read. */
+  /** Whether both routes and servers have been read at least once. */
   get isComplete(): boolean {
     return this.routes.version > 0 && this.serverRevision > 0;
   }
 
-  /** The route of a destination in the newest version. */
+  /** Returns the route of a destination in the newest version. */
   routeOf(address: number, port: number): KnownRoute | undefined {
     return this.routes.find(address, port);
   }
 
-  /** All routes of the newest version. */
   allRoutes(): KnownRoute[] {
     return this.routes.all();
   }
 
-  /** Services whose cold servers take no more than a stated rate. */
+  /** Returns the services that limit the request rate of their cold servers. */
   coldServices(): readonly ColdService[] {
     return this.routes.coldServices;
   }
 
-  /** Requests a second that a cold server of a service takes; 0: none is stated. */
+  /** Returns the requests per second for a cold server of a service; 0: no limit. */
   coldRateOf(service: string): number {
     return (
       this.coldServices().find(cold => cold.service === service)
@@ -140,117 +132,117 @@
     );
   }
 
-  /** All services that versions known here named; undefined: one did not tell. */
+  /** Returns all declared services; undefined if a known route version omits them. */
   serviceNames(): readonly string[] | undefined {
     return this.routes.serviceNames;
   }
 
-  /** All servers in the list. */
+  /** Returns all listed servers. */
   allServers(): CatalogServer[] {
     return this.servers.listed();
   }
 
-  /** Entries of the list that cannot be read. */
+  /** Returns the listed entries that cannot be read. */
   unreadableEntries(): UnreadableEntry[] {
     return this.servers.unreadableEntries();
   }
 
-  /** Hash over the records of servers whose entries cannot be read; 0: none. */
+  /** Hash of the last readable records of servers with unreadable entries; 0: none. */
   get unreadableDigest(): number {
     return this.servers.unreadableDigest;
   }
 
-  /** Servers of a service that are in the list, or left it not long ago. */
+  /** Counts the listed and recently departed servers of a service. */
   countServers(service: string): number {
     return [...this.allServers(), ...this.servers.departed()].filter(
       server => server.service === service,
     ).length;
   }
 
-  /** Whether a server is in the list. */
   isListed(id: string): boolean {
     return this.servers.isListed(id);
   }
 
-  /** A server in the list, or one that left it not long ago. */
+  /** Returns a listed or recently departed server. */
   serverById(id: string): CatalogServer | undefined {
     return this.servers.serverById(id);
   }
 
-  /** Servers of a service that take new flows, lapsed ones that may live included. */
+  /**
+   * Returns the servers of a service that accept new flows, including those whose entries
+   * may have expired in a store outage.
+   */
   openServers(service: string): readonly CatalogServer[] {
     return this.servers.openServers(service);
   }
 
-  /** Failure domains whose servers take no new flows. */
+  /** Returns the failure domains whose servers accept no new flows. */
   evacuatedDomains(): string[] {
     return this.servers.evacuatedDomains();
   }
 
-  /** Whether a server is slow: from its start, or since its domain was restored. */
+  /** Whether a server is in slow start, after its own start or its domain's restoration. */
   isCold({coldUntil, failureDomain}: CatalogServer, now: number): boolean {
-    const unsettledUntil = this.unsettledUntil.get(failureDomain) ?? -Infinity;
-    return Math.max(coldUntil, unsettledUntil) > now;
+    const domainColdUntil =
+      this.domainColdUntil.get(failureDomain) ?? -Infinity;
+    return Math.max(coldUntil, domainColdUntil) > now;
   }
 
-  /** The cookie that names a server at a route, or undefined if there is none. */
+  /** Returns a server's cookie at a route; undefined if an older server has its hash. */
   cookieOf(server: CatalogServer, route: KnownRoute): number | undefined {
-    return this.servers.cookies.cookieOf(server, this.maskOf(route));
+    return this.servers.cookies.cookieOf(server, this.getMask(route));
   }
 
   /**
-   * The server of a cookie at a route. While the versions by which flows that live
-   * were opened may not all be known, the cookie alone shows that one of them gave
-   * the server's service to the route; later the service must be known to be one of
-   * theirs. After the loss of all instances this keeps the flows that a former version
-   * opened: 84 of some 300 when four servers had such flows alone, nearly all when a
-   * route had gone to another service. Their callers would wait in vain and then come
-   * back all at once; requests served over 50 s, weighed by their worth and lateness,
-   * were 0.977 of all without it and 0.987 with it.
+   * Returns the server that a cookie names at a route. Its service must be one that a
+   * known version assigned to the route. Until the route history covers a whole flow
+   * lifetime, the cookie alone suffices: a daemon that restarted without the former
+   * versions would otherwise drop the flows opened under them.
    */
   serverOf(cookie: number, route: KnownRoute): CatalogServer | undefined {
-    const named = this.servers.cookies.find(cookie, this.maskOf(route));
-    const allowed = named.find(
+    const owners = this.servers.cookies.find(cookie, this.getMask(route));
+    const allowed = owners.find(
       ({server}) =>
         server !== undefined && route.allowedServices.has(server.service),
     );
-    const owner = allowed ?? (this.routes.knowsVersions ? undefined : named[0]);
+    const owner =
+      allowed ?? (this.routes.hasFullHistory ? undefined : owners[0]);
     return owner?.server;
   }
 
-  /** Whether a cookie names any server at a route, of whatever service. */
+  /** Whether a cookie names a server of any service at a route. */
   hasCookie(cookie: number, route: KnownRoute): boolean {
-    return this.servers.cookies.find(cookie, this.maskOf(route)).length > 0;
+    return this.servers.cookies.find(cookie, this.getMask(route)).length > 0;
   }
 
-  /** Whether a server that lives would surely be in the list by now. */
+  /** Whether a server that is missing from the list is certain to have ended. */
   get isAuthoritative(): boolean {
     return this.servers.isAuthoritative;
   }
 
-  /** Whether a server has ended for certain. */
+  /** Whether a server is known to have ended. */
   hasEnded(server: CatalogServer): boolean {
     return this.servers.hasEnded(server.id);
   }
 
   /**
-   * Takes a version of the routes that a read at `confirmedAt` (monotonic
-   * milliseconds) showed to be the newest. An older version changes nothing.
+   * Applies a version of the routes that was the newest at `confirmedAt`, in monotonic
+   * milliseconds. Ignores versions older than the current one.
    */
   takeRoutes(
     listing: RouteListing,
     confirmedAt: number,
     changedAt = confirmedAt,
   ): void {
-    if (!this.routes.take(listing, confirmedAt, changedAt)) {
+    if (!this.routes.apply(listing, confirmedAt, changedAt)) {
       return;
     }
     this.cookieMasks.clear();
-    this.servers.noteServices();
-    this.tell({...NO_CHANGE, routeVersion: listing.version});
+    this.servers.applyDeclaredServices();
+    this.notify({...NO_CHANGE, routeVersion: listing.version});
   }
 
-  /** Notes that a version, if it is held, was still the newest at a time. */
+  /** Records that a version was still the newest at a time, if it is the current one. */
   confirmRoutes(version: number, at: number): void {
     if (version === this.routes.version) {
       this.routes.confirm(at);
@@ -258,24 +250,24 @@
   }
 
   /**
-   * Takes a list of servers read at `confirmedAt` (monotonic milliseconds). An older one
-   * tells no more than what servers were whose newest entries cannot be read.
+   * Applies a list of servers read at `confirmedAt`, in monotonic milliseconds. From an
+   * older list only the last readable records of unreadable entries are used.
    */
   takeServers(listing: ServerListing, confirmedAt: number): void {
     const {revision} = listing;
-    this.fillRecords(listing.servers);
+    this.applyMissingRecords(listing.servers);
     if (revision < this.serverRevision) {
       return;
     }
     if (this.serverRevision === 0) {
-      this.servers.startAt(revision);
+      this.servers.startHistoryAt(revision);
     }
-    this.apply(this.servers.changesTo(listing), revision, confirmedAt);
+    this.applyChange(this.servers.diffListing(listing), revision, confirmedAt);
   }
 
   /**
-   * Takes everything as it was some time before `readAt` (monotonic milliseconds), and
-   * confirms nothing: a daemon that starts may forward by it, and refuses nothing aloud.
+   * Applies a reading that may be stale at `readAt`, in monotonic milliseconds, without
+   * confirming it. A starting daemon may forward by it but not reset flows by it.
    */
   takeOld(reading: CatalogReading, readAt: number): void {
     if (reading.routes !== undefined) {
@@ -284,61 +276,62 @@
     this.takeServers(reading.servers, -Infinity);
   }
 
-  /** Takes what the store reported since the revision that is held. */
+  /** Applies the events that the store reported since the current revision. */
   takeEvents(events: CatalogEvents, confirmedAt: number): void {
     if (events.routes === undefined) {
       this.routes.confirm(confirmedAt);
     } else {
       this.takeRoutes(events.routes, confirmedAt);
     }
-    this.takeListingChange(events, events.revision, confirmedAt);
+    this.applyListingChange(events, events.revision, confirmedAt);
   }
 
   /**
-   * Takes changes of the servers, and the domains that were evacuated, as a peer held
-   * them at a revision; what is older than what is held is left.
+   * Applies a peer's server changes and evacuated domains as of a revision, skipping
+   * whatever is older than the local state.
    */
   takeServerChanges(
     changes: ServerChanges,
     {revision, evacuated}: Pick<ServerListing, 'revision' | 'evacuated'>,
     confirmedAt: number,
   ): void {
-    const domains = this.servers.changesOfDomainsTo(evacuated);
-    this.takeListingChange({...changes, domains}, revision, confirmedAt);
+    const domains = this.servers.diffDomains(evacuated);
+    this.applyListingChange({...changes, domains}, revision, confirmedAt);
   }
 
-  /** Changes of the servers after a revision, if they are still known. */
+  /** Returns the server changes after a revision; undefined if the history is too short. */
   serverChangesSince(revision: number): ServerChanges | undefined {
     return this.servers.changesSince(revision);
   }
 
-  /** Notes that nothing was written up to a time. */
+  /** Records that the store held no newer data at a time. */
   confirmAll(at: number): void {
     this.routes.confirm(at);
-    this.noteServersConfirmed(at);
-    this.tellNews(NO_CHANGE);
+    this.recordServersConfirmed(at);
+    this.notifyIfChanged(NO_CHANGE);
   }
 
   /**
-   * Notes that another daemon, which holds the same servers, read them at a
-   * time. Its revision is taken only if its routes are held here as well.
+   * Records that a peer with the same servers read them at a time. Adopts the peer's
+   * revision only if its route version is known here; otherwise the next watch, which
+   * starts at this revision, would miss that version.
    */
-  confirmServers(told: ServerAnnouncement, at: number): void {
-    if (told.digest !== this.servers.digest || this.serverRevision === 0) {
+  confirmServers(announced: ServerAnnouncement, at: number): void {
+    if (announced.digest !== this.servers.digest || this.serverRevision === 0) {
       return;
     }
-    if (told.routeVersion <= this.routes.version) {
-      this.serverRevision = Math.max(this.serverRevision, told.revision);
+    if (announced.routeVersion <= this.routes.version) {
+      this.serverRevision = Math.max(this.serverRevision, announced.revision);
     }
-    this.noteServersConfirmed(at);
-    this.tellNews(NO_CHANGE);
+    this.recordServersConfirmed(at);
+    this.notifyIfChanged(NO_CHANGE);
   }
 
   /**
-   * Servers have a revision each. The domains are held as of the revision of the whole
-   * list, so changes that lead to an earlier one are known already.
+   * Applies changes up to a revision. Servers carry a revision each; domains do not, so
+   * their changes are skipped when the local list is newer.
    */
-  private takeListingChange(
+  private applyListingChange(
     change: ListingChange,
     revision: number,
     confirmedAt: number,
@@ -346,67 +339,66 @@
     const isNewest = revision >= this.serverRevision;
     const domains = isNewest ? change.domains : [];
     const newest = Math.max(revision, this.serverRevision);
-    this.apply({...change, domains}, newest, confirmedAt);
+    this.applyChange({...change, domains}, newest, confirmedAt);
   }
 
-  private noteServersConfirmed(at: number): void {
+  private recordServersConfirmed(at: number): void {
     this.serversConfirmedAt = Math.max(this.serversConfirmedAt, at);
     this.servers.confirm(at);
   }
 
-  /** Brings the servers and the domains to a revision. */
-  private apply(
+  private applyChange(
     change: ListingChange,
     revision: number,
     confirmedAt: number,
   ): void {
     const isFirstListing = this.serverRevision === 0;
     this.serverRevision = revision;
-    this.noteServersConfirmed(confirmedAt);
-    const news = this.servers.take(change, confirmedAt);
+    this.recordServersConfirmed(confirmedAt);
+    const affected = this.servers.apply(change, confirmedAt);
     const domains = change.domains.filter(domain =>
       this.changeDomain(domain, confirmedAt),
     );
-    this.tellNews({...NO_CHANGE, ...news, isFirstListing, domains});
+    this.notifyIfChanged({...NO_CHANGE, ...affected, isFirstListing, domains});
   }
 
-  /** Takes records of servers whose entries cannot be read, where they are lacking. */
-  private fillRecords(servers: readonly CatalogServer[]): void {
-    const restarted = this.servers.takeRecords(servers);
-    this.tellNews({...NO_CHANGE, restarted});
+  /** Fills in missing records of servers whose newest entries cannot be read. */
+  private applyMissingRecords(servers: readonly CatalogServer[]): void {
+    const restarted = this.servers.applyMissingRecords(servers);
+    this.notifyIfChanged({...NO_CHANGE, restarted});
   }
 
   private changeDomain(domain: DomainChange, at: number): boolean {
     const {failureDomain, isEvacuated} = domain;
     if (!isEvacuated) {
-      this.unsettledUntil.set(failureDomain, at + UNSETTLED_MS);
+      this.domainColdUntil.set(failureDomain, at + RESTORED_DOMAIN_COLD_MS);
     }
     return this.servers.changeDomain(domain);
   }
 
-  /** Worked out at a route's first packet: most routes see none for a while. */
-  private maskOf({address, port}: KnownRoute): number {
+  /** Returns a route's cookie mask, computed on the route's first packet. */
+  private getMask({address, port}: KnownRoute): number {
     const key = destinationKey(address, port);
     const known = this.cookieMasks.get(key);
     if (known !== undefined) {
       return known;
     }
-    const mask = this.servers.cookies.maskOf(key);
+    const mask = this.servers.cookies.computeMask(key);
     this.cookieMasks.set(key, mask);
     return mask;
   }
 
-  /** Tells of a change, and of servers that have ended since, if there is any. */
-  private tellNews(change: CatalogChange): void {
+  /** Notifies the listeners of a change and newly ended servers, if there are any. */
+  private notifyIfChanged(change: CatalogChange): void {
     const ended = this.servers.takeEnded();
     const {changed, restarted, unreadable, departed, domains} = change;
     const parts = [changed, restarted, unreadable, departed, domains, ended];
     if (parts.some(part => part.length > 0)) {
-      this.tell({...change, ended});
+      this.notify({...change, ended});
     }
   }
 
-  private tell(change: CatalogChange): void {
+  private notify(change: CatalogChange): void {
     this.listeners.forEach(listener => listener(change));
   }
 }
--- a/src/catalog/cookie-index.spec.ts
+++ b/src/catalog/cookie-index.spec.ts
@@ -69,7 +69,7 @@
     serverOf(`i-${number}`, 'a', number),
   );
   servers.forEach(server => index.put(server));
-  const [here, there] = [1, 2].map(key => index.maskOf(key));
+  const [here, there] = [1, 2].map(key => index.computeMask(key));
   servers.forEach(server => {
     const cookie = index.cookieOf(server, here) ?? 0;
     assert.equal(index.find(cookie, here)[0].id, server.id);
--- a/src/catalog/departed-servers.spec.ts
+++ b/src/catalog/departed-servers.spec.ts
@@ -83,9 +83,9 @@
   const departures = DepartedServers.create(60_000);
   departures.confirm(0);
   departures.add(SERVER, 0);
-  departures.supersede(7, 81);
+  departures.supersedeAt(7, 81);
   assert.equal(departures.hasEnded('i-1'), false);
-  departures.supersede(7, 80);
+  departures.supersedeAt(7, 80);
   assert.equal(departures.hasEnded('i-1'), true);
 });
 
--- a/src/catalog/departed-servers.ts
+++ b/src/catalog/departed-servers.ts
@@ -1,193 +1,185 @@
 /**
- * Backend servers that left the list. An entry may lapse although its server
- * lives, while the store is away; so a departed server is taken to be gone only
- * when the list was read without it for a while without a gap.
+ * Backend servers that left the list. During a store outage the entry of a live server
+ * may expire, so a departed server counts as ended only after the list was read without
+ * it, and without a gap between reads, for a grace period.
  */
 import {ServerState, type CatalogServer} from './records.js';
 
 /**
- * Time in which the entry of a living server is back once the store is, in
- * milliseconds: 2 s by the platform's word, and some time for the reads.
+ * Time within which a live server registers again after a store outage (2 s, as specified
+ * by the platform) and a read shows it.
  */
-const LAPSE_GRACE_MS = 2_600;
+const REREGISTRATION_GRACE_MS = 2_600;
 
 /**
- * Time for which a server may serve on whose entry was removed although it was ready
- * and the store was there, in milliseconds. Either it crashed, or it leaves without
- * saying so: then it serves on for the drain time (3 s to 5 s on the deployments of
- * today), at times for many seconds more. The two look alike.
+ * Longest time for which a server may serve on after its entry was removed while it was
+ * ready and the store available. It may have crashed, or may be shutting down without
+ * having announced it: the drain time is 3 s to 5 s, and some servers take much longer.
  */
-const QUIET_LEAVE_MS = 20_000;
+const UNANNOUNCED_SHUTDOWN_MS = 20_000;
 
-/**
- * Time between two reads above which the store may have been away, in
- * milliseconds: three reads missed.
- */
-const OUTAGE_GAP_MS = 2_600;
+/** Longest gap between reads that does not count as a store outage: three missed reads. */
+const OUTAGE_READ_GAP_MS = 2_600;
 
 /** A server that is not in the newest list. */
 interface Departure {
   readonly server: CatalogServer;
-  /** Monotonic milliseconds since when reads without a gap have missed it. */
+  /** Monotonic milliseconds since which gapless reads have not contained the server. */
   missingSince: number;
-  /** Time without its entry after which its end is certain, in milliseconds. */
+  /** Time without an entry after which the server counts as ended. */
   readonly graceMs: number;
-  /** It may have lapsed in an outage: new flows are still sent to it. */
-  readonly mayHaveLapsed: boolean;
-  /** Its end is certain. */
-  gone: boolean;
-  /** Monotonic milliseconds at which it may be forgotten. */
-  readonly forgetAt: number;
+  /** Whether the entry may have expired in an outage; new flows are still sent to it. */
+  readonly mayHaveExpired: boolean;
+  isEnded: boolean;
+  /** Monotonic milliseconds after which no flow can name the server. */
+  readonly evictAt: number;
 }
 
-/** The departed servers of one daemon. */
+/** Departed servers of one daemon, kept for the lifetime of their flows. */
 export class DepartedServers {
   private readonly departures = new Map<string, Departure>();
   /**
-   * Ids of entries that went and were never readable here, and when they may be
-   * forgotten; monotonic milliseconds.
+   * Ids of departed servers that never had a readable entry here, with their eviction
+   * times in monotonic milliseconds.
    */
-  private readonly ids = new Map<string, number>();
-  /** Servers whose end became certain and that were not asked for yet. */
-  private newlyGone: CatalogServer[] = [];
-  /** What `lapsed` answers; undefined once a departure may have changed. */
-  private lapsedNow: readonly CatalogServer[] | undefined;
+  private readonly idsWithoutRecord = new Map<string, number>();
+  /** Ended servers that `takeEnded` has not returned yet. */
+  private newlyEnded: CatalogServer[] = [];
+  /** Cached result of `listExpired`; undefined when it has to be computed again. */
+  private expiredServers: readonly CatalogServer[] | undefined;
   private confirmedAt = -Infinity;
-  /** Reads have had no gap since then; monotonic milliseconds. */
-  private steadySince = -Infinity;
+  /** Monotonic milliseconds since which reads have had no gap. */
+  private gaplessSince = -Infinity;
 
   private constructor(
-    /** Time for which a flow may live, in milliseconds. */
+    /** Maximum lifetime of a flow. */
     private readonly flowLifetimeMs: number,
   ) {}
 
-  /** Creates an empty record. */
   static create(flowLifetimeMs: number): DepartedServers {
     return new DepartedServers(flowLifetimeMs);
   }
 
-  /**
-   * Notes that the list was read at a time, whatever it said; returns the ids of
-   * servers that are forgotten with it.
-   */
+  /** Records that the list was read at a time; returns the ids of evicted servers. */
   confirm(at: number): string[] {
     if (at <= this.confirmedAt) {
       return [];
     }
-    if (at - this.confirmedAt > OUTAGE_GAP_MS) {
-      this.steadySince = at;
+    if (at - this.confirmedAt > OUTAGE_READ_GAP_MS) {
+      this.gaplessSince = at;
       this.departures.forEach(departure => {
         departure.missingSince = Math.max(departure.missingSince, at);
       });
     }
     this.confirmedAt = at;
-    this.lapsedNow = undefined;
+    this.expiredServers = undefined;
     this.departures.forEach(departure => {
       if (at - departure.missingSince >= departure.graceMs) {
-        this.end(departure);
+        this.markEnded(departure);
       }
     });
-    return this.forgetOld(at);
+    return this.evictOld(at);
   }
 
   /**
-   * Whether reads without a gap go back further than a server may serve on after its
-   * entry went.
+   * Whether reads have been gapless for as long as a server may serve on after its entry
+   * was removed, so that a server missing from the list has ended.
    */
   get isAuthoritative(): boolean {
-    return this.confirmedAt - this.steadySince >= QUIET_LEAVE_MS;
+    return this.confirmedAt - this.gaplessSince >= UNANNOUNCED_SHUTDOWN_MS;
   }
 
-  /** Records a server that the list read at `at` does not hold. */
+  /** Adds a server that is missing from the list read at `at`. */
   add(server: CatalogServer, at: number): void {
     const isDrained = server.state === ServerState.DRAINING;
-    this.lapsedNow = undefined;
-    const mayHaveLapsed = !isDrained && at - this.steadySince < LAPSE_GRACE_MS;
-    const isExplained = isDrained || mayHaveLapsed;
+    this.expiredServers = undefined;
+    const mayHaveExpired =
+      !isDrained && at - this.gaplessSince < REREGISTRATION_GRACE_MS;
+    const hasKnownCause = isDrained || mayHaveExpired;
     this.departures.set(server.id, {
       server,
       missingSince: at,
-      graceMs: isExplained ? LAPSE_GRACE_MS : QUIET_LEAVE_MS,
-      mayHaveLapsed,
-      gone: false,
-      forgetAt: at + this.flowLifetimeMs,
+      graceMs: hasKnownCause
+        ? REREGISTRATION_GRACE_MS
+        : UNANNOUNCED_SHUTDOWN_MS,
+      mayHaveExpired,
+      isEnded: false,
+      evictAt: at + this.flowLifetimeMs,
     });
   }
 
-  /** Records that the entry of a server went of which no record is known. */
-  addId(id: string, at: number): void {
-    this.ids.set(id, at + this.flowLifetimeMs);
+  /** Adds a server whose entry was removed without ever having been readable here. */
+  addWithoutRecord(id: string, at: number): void {
+    this.idsWithoutRecord.set(id, at + this.flowLifetimeMs);
   }
 
-  /** Takes a server back that is in the list again. */
+  /** Removes a server that is listed again. */
   remove(id: string): void {
-    this.lapsedNow = undefined;
+    this.expiredServers = undefined;
     this.departures.delete(id);
-    this.ids.delete(id);
+    this.idsWithoutRecord.delete(id);
   }
 
-  /** Marks servers whose address a later server has taken: they have ended. */
-  supersede(address: number, port: number): void {
-    this.lapsedNow = undefined;
+  /** Marks the servers at an address as ended, since a newer server has taken it. */
+  supersedeAt(address: number, port: number): void {
+    this.expiredServers = undefined;
     this.departures.forEach(departure => {
       const {server} = departure;
       if (server.address === address && server.port === port) {
-        this.end(departure);
+        this.markEnded(departure);
       }
     });
   }
 
-  /** Servers whose end became certain since this was asked last. */
+  /** Returns the servers that became known to have ended since the last call. */
   takeEnded(): CatalogServer[] {
-    const gone = this.newlyGone;
-    this.newlyGone = [];
-    return gone;
+    const ended = this.newlyEnded;
+    this.newlyEnded = [];
+    return ended;
   }
 
-  /** All departed servers that are not forgotten yet. */
+  /** Returns all departed servers that are not evicted. */
   all(): CatalogServer[] {
     return [...this.departures.values()].map(({server}) => server);
   }
 
-  /** A departed server that is not forgotten yet. */
+  /** Returns a departed server that is not evicted. */
   serverById(id: string): CatalogServer | undefined {
     return this.departures.get(id)?.server;
   }
 
-  /** Whether the server's end is certain. */
+  /** Whether a departed server is known to have ended. */
   hasEnded(id: string): boolean {
-    return this.departures.get(id)?.gone === true;
+    return this.departures.get(id)?.isEnded === true;
   }
 
-  /** Servers that may live on although their entries lapsed. */
+  /** Returns the servers that may be alive although their entries expired. */
   listExpired(): readonly CatalogServer[] {
-    this.lapsedNow ??= [...this.departures.values()]
-      .filter(({gone, mayHaveLapsed}) => mayHaveLapsed && !gone)
+    this.expiredServers ??= [...this.departures.values()]
+      .filter(({isEnded, mayHaveExpired}) => mayHaveExpired && !isEnded)
       .map(({server}) => server);
-    return this.lapsedNow;
+    return this.expiredServers;
   }
 
-  private end(departure: Departure): void {
-    if (!departure.gone) {
-      departure.gone = true;
-      this.newlyGone.push(departure.server);
+  private markEnded(departure: Departure): void {
+    if (!departure.isEnded) {
+      departure.isEnded = true;
+      this.newlyEnded.push(departure.server);
     }
   }
 
-  /** Forgets servers that no flow can name any more; returns their ids. */
-  private forgetOld(at: number): string[] {
-    const forgetTimes = [
-      ...[...this.departures].map(
-        ([id, {forgetAt}]) => [id, forgetAt] as const,
-      ),
-      ...this.ids,
+  /** Evicts servers that no flow can name any more; returns their ids. */
+  private evictOld(at: number): string[] {
+    const evictionTimes = [
+      ...[...this.departures].map(([id, {evictAt}]) => [id, evictAt] as const),
+      ...this.idsWithoutRecord,
     ];
-    const old = forgetTimes
-      .filter(([, forgetAt]) => forgetAt <= at)
+    const old = evictionTimes
+      .filter(([, evictAt]) => evictAt <= at)
       .map(([id]) => id);
     old.forEach(id => {
       this.departures.delete(id);
-      this.ids.delete(id);
+      this.idsWithoutRecord.delete(id);
     });
     return old;
   }
--- a/src/catalog/known-servers.ts
+++ b/src/catalog/known-servers.ts
@@ -1,13 +1,14 @@
 /**
- * The backend servers that one daemon knows, those that left the list not long ago
- * included: what becomes of each when its entry is written, cannot be read or goes.
+ * The listed and recently departed backend servers of one daemon. Applies written,
+ * unreadable and removed entries to the server table, the departed servers and the
+ * cookie index.
  */
 import type {Hasher} from '../ports/hasher.js';
 import {CookieIndex} from './cookie-index.js';
 import {DepartedServers} from './departed-servers.js';
 import {
-  changesOfDomains,
-  changesTo,
+  diffDomains,
+  diffListing,
   type ListingChange,
   type AffectedServers,
 } from './listing-change.js';
@@ -20,251 +21,259 @@
 } from './records.js';
 import {ServerTable, type ServerChanges} from './server-table.js';
 
-/** What known servers are made from. */
+/** Options of the known servers. */
 export interface KnownServersOptions {
   readonly hasher: Hasher;
-  /** Time for which a flow may live, in milliseconds. */
+  /** Maximum lifetime of a flow. */
   readonly flowLifetimeMs: number;
-  /** Whether a version names a service; what is of another may be anybody's. */
-  isNamed(service: string): boolean;
+  /** Whether a known route version declares a service; other entries are not trusted. */
+  isDeclared(service: string): boolean;
 }
 
-/** Servers by id, and the cookies that name them. */
+/** Known servers by id, and the cookies that name them. */
 export class KnownServers {
-  /** The cookies of all of them, and where the flows of each go. */
+  /** Cookies of all known servers, and the record by which each one's flows are routed. */
   readonly cookies: CookieIndex;
   private readonly table: ServerTable;
-  private readonly departures: DepartedServers;
-  /** Ids of listed servers whose services no version names. */
-  private readonly ofUnnamedServices = new Set<string>();
+  private readonly departedServers: DepartedServers;
+  /** Ids of listed servers whose service no known route version declares. */
+  private readonly idsOfUndeclaredServices = new Set<string>();
 
   private constructor(private readonly options: KnownServersOptions) {
     this.table = ServerTable.create(options.hasher);
-    this.departures = DepartedServers.create(options.flowLifetimeMs);
+    this.departedServers = DepartedServers.create(options.flowLifetimeMs);
     this.cookies = CookieIndex.create(options.hasher);
   }
 
-  /** Creates an empty record. */
   static create(options: KnownServersOptions): KnownServers {
     return new KnownServers(options);
   }
 
-  /** The same for equal lists, in whatever order they came. */
+  /** Order-independent hash of the listed servers and evacuated domains. */
   get digest(): number {
     return this.table.digest;
   }
 
-  /** Hash over the records of servers whose entries cannot be read; 0: none. */
+  /** Hash of the last readable records of servers with unreadable entries; 0: none. */
   get unreadableDigest(): number {
     return this.table.unreadableDigest;
   }
 
-  /** Whether a server that lives would surely be in the list by now. */
+  /** Whether a server that is missing from the list is certain to have ended. */
   get isAuthoritative(): boolean {
-    return this.departures.isAuthoritative;
+    return this.departedServers.isAuthoritative;
   }
 
-  /** All listed servers. */
+  /** Returns all listed servers that have a readable entry. */
   listed(): CatalogServer[] {
     return this.table.all();
   }
 
-  /** Servers that left the list not long ago. */
+  /** Returns the servers that left the list within a flow lifetime. */
   departed(): CatalogServer[] {
-    return this.departures.all();
+    return this.departedServers.all();
   }
 
-  /** Whether an entry of a server was read that is listed. */
+  /** Whether a server is listed and has had a readable entry. */
   isListed(id: string): boolean {
     return this.table.get(id) !== undefined;
   }
 
-  /** Entries that cannot be read. */
+  /** Returns the listed entries that cannot be read. */
   unreadableEntries(): UnreadableEntry[] {
     return this.table.unreadableEntries();
   }
 
-  /** A server that is listed, or left the list not long ago, as flows go to it. */
+  /** Returns the record by which a listed or departed server's flows are routed. */
   serverById(id: string): CatalogServer | undefined {
     return this.cookies.serverOf(id);
   }
 
-  /** Servers of a service that take new flows, lapsed ones that may live included. */
+  /**
+   * Returns the servers of a service that accept new flows, including those whose entries
+   * may have expired in a store outage.
+   */
   openServers(service: string): readonly CatalogServer[] {
     const listed = this.table.openServers(service);
-    const lapsed = this.departures
+    const expired = this.departedServers
       .listExpired()
       .filter(
         server => server.service === service && !this.table.isEvacuated(server),
       );
-    return lapsed.length === 0 ? listed : [...listed, ...lapsed];
+    return expired.length === 0 ? listed : [...listed, ...expired];
   }
 
-  /** Failure domains whose servers take no new flows. */
+  /** Returns the failure domains whose servers accept no new flows. */
   evacuatedDomains(): string[] {
     return this.table.evacuatedDomains();
   }
 
-  /** Whether a server has ended for certain. */
+  /** Whether a server is known to have ended. */
   hasEnded(id: string): boolean {
-    return this.table.isSucceeded(id) || this.departures.hasEnded(id);
+    return this.table.isSuperseded(id) || this.departedServers.hasEnded(id);
   }
 
-  /** Servers whose end became certain since this was asked last. */
+  /** Returns the servers that became known to have ended since the last call. */
   takeEnded(): CatalogServer[] {
     const ended = [
-      ...this.table.takeSucceeded(),
-      ...this.departures.takeEnded(),
+      ...this.table.takeSuperseded(),
+      ...this.departedServers.takeEnded(),
     ];
-    // One may be back by the very change that made its end seem certain.
+    // A server may be listed again by the same change that ended its grace period.
     return ended.filter(({id}) => this.hasEnded(id));
   }
 
-  /** Changes of the list after a revision, if they are still known. */
+  /** Returns the changes after a revision; undefined if the history is too short. */
   changesSince(revision: number): ServerChanges | undefined {
     return this.table.changesSince(revision);
   }
 
-  /** Notes that the list is complete as of a revision, and not before. */
-  startAt(revision: number): void {
-    this.table.startAt(revision);
+  /** Declares the change history complete from a revision on. */
+  startHistoryAt(revision: number): void {
+    this.table.startHistoryAt(revision);
   }
 
-  /** What leads to a whole list. */
-  changesTo(listing: ServerListing): ListingChange {
-    return changesTo(listing, this.table.ids(), this.evacuatedDomains());
+  /** Returns the changes that lead from the current state to a whole list. */
+  diffListing(listing: ServerListing): ListingChange {
+    return diffListing(listing, this.table.ids(), this.evacuatedDomains());
   }
 
-  /** What leads the evacuated domains to a list of all of them. */
-  changesOfDomainsTo(evacuated: readonly string[]): DomainChange[] {
-    return changesOfDomains(this.evacuatedDomains(), evacuated);
+  /** Returns the changes that lead from the current evacuated domains to those given. */
+  diffDomains(evacuated: readonly string[]): DomainChange[] {
+    return diffDomains(this.evacuatedDomains(), evacuated);
   }
 
   /**
-   * Takes what is later than what is held, and leaves the rest; an id may be written,
-   * unreadable and removed. `at` is monotonic milliseconds.
+   * Applies the changes that are newer than the known entries and skips the others. An id
+   * may occur as written, unreadable and removed. `at` is in monotonic milliseconds.
    */
-  take(changes: ServerChanges, at: number): AffectedServers {
-    const taken = changes.written.map(server => this.takeServer(server));
+  apply(changes: ServerChanges, at: number): AffectedServers {
+    const applied = changes.written.map(server => this.applyServer(server));
     const unreadable = (changes.unreadable ?? []).filter(entry =>
-      this.takeUnreadable(entry),
+      this.applyUnreadable(entry),
+    );
+    const departed = changes.removed.flatMap(entry =>
+      this.applyRemoval(entry, at),
     );
-    const departed = changes.removed.flatMap(entry => this.depart(entry, at));
     return {
-      changed: taken.flatMap(({changed}) => changed),
-      restarted: taken.flatMap(({restarted}) => restarted),
+      changed: applied.flatMap(({changed}) => changed),
+      restarted: applied.flatMap(({restarted}) => restarted),
       unreadable,
       departed,
     };
   }
 
-  /** Takes records of servers whose entries cannot be read, where they are lacking. */
-  takeRecords(servers: readonly CatalogServer[]): CatalogServer[] {
+  /**
+   * Applies records of servers whose newest entries cannot be read. Returns the servers
+   * that turn out to have restarted.
+   */
+  applyMissingRecords(servers: readonly CatalogServer[]): CatalogServer[] {
     return servers
       .filter(({id}) => this.table.isUnreadable(id))
-      .flatMap(server => this.takeServer(server).restarted);
+      .flatMap(server => this.applyServer(server).restarted);
   }
 
-  /** Takes a change of a failure domain; false if it is none. */
+  /** Evacuates or restores a failure domain; returns whether that changed anything. */
   changeDomain(domain: DomainChange): boolean {
     return this.table.changeDomain(domain);
   }
 
-  /** A newer version may name services of servers that are listed. */
-  noteServices(): void {
-    [...this.ofUnnamedServices]
+  /** Stores servers again whose service a newer route version declares. */
+  applyDeclaredServices(): void {
+    [...this.idsOfUndeclaredServices]
       .flatMap(id => this.table.get(id) ?? [])
-      .filter(({service}) => this.options.isNamed(service))
-      .forEach(server => this.settle(server));
+      .filter(({service}) => this.options.isDeclared(service))
+      .forEach(server => this.storeRecord(server));
   }
 
-  /** Notes that the list was read at a time; servers long departed lose their cookies. */
+  /** Records that the list was read at a time; drops cookies of servers long departed. */
   confirm(at: number): void {
-    this.departures
+    this.departedServers
       .confirm(at)
       .filter(id => !this.table.isUnreadable(id))
       .forEach(id => this.cookies.remove(id));
   }
 
-  private takeServer(
+  private applyServer(
     server: CatalogServer,
   ): Pick<AffectedServers, 'changed' | 'restarted'> {
-    if (!this.table.isLater(server)) {
+    if (!this.table.isNewer(server)) {
       return {changed: [], restarted: []};
     }
     const former = this.serverById(server.id);
-    const isNews = this.table.isNews(server);
-    this.settle(server);
-    const taken = this.serverById(server.id);
+    const isNewOrChanged = this.table.isNewOrChanged(server);
+    this.storeRecord(server);
+    const current = this.serverById(server.id);
     const isRestart =
-      former !== undefined && former.startTime !== taken?.startTime;
+      former !== undefined && former.startTime !== current?.startTime;
     return {
-      changed: isNews && !this.table.isUnreadable(server.id) ? [server] : [],
-      restarted: isRestart && taken !== undefined ? [taken] : [],
+      changed:
+        isNewOrChanged && !this.table.isUnreadable(server.id) ? [server] : [],
+      restarted: isRestart && current !== undefined ? [current] : [],
     };
   }
 
   /**
-   * Holds a record. Flows go by it unless it may be anybody's, and another one is known;
-   * such a record has ended nobody at its address either.
+   * Stores a record as that of a listed server. A record of an undeclared service neither
+   * supersedes servers at its address nor redirects the flows of a known server.
    */
-  private settle(server: CatalogServer): void {
+  private storeRecord(server: CatalogServer): void {
     const {id, service, address, port} = server;
-    const isNamed = this.options.isNamed(service);
+    const isDeclared = this.options.isDeclared(service);
     const former = this.serverById(id);
-    const hasCome =
+    const isNewAtAddress =
       !this.isListed(id) ||
       former?.address !== address ||
       former.port !== port ||
       former.startTime !== server.startTime;
-    this.departures.remove(id);
-    this.table.put(server, isNamed);
-    if (isNamed) {
-      this.ofUnnamedServices.delete(id);
+    this.departedServers.remove(id);
+    this.table.put(server, isDeclared);
+    if (isDeclared) {
+      this.idsOfUndeclaredServices.delete(id);
     } else {
-      this.ofUnnamedServices.add(id);
+      this.idsOfUndeclaredServices.add(id);
     }
-    if (isNamed && hasCome) {
-      this.departures.supersede(address, port);
+    if (isDeclared && isNewAtAddress) {
+      this.departedServers.supersedeAt(address, port);
     }
-    if (isNamed || former === undefined) {
+    if (isDeclared || former === undefined) {
       this.cookies.put(server);
     }
   }
 
-  /** A server that may live although its entry went is listed again as it was. */
-  private takeUnreadable(entry: UnreadableEntry): boolean {
+  /** Applies an unreadable entry; a departed server that may be alive is listed again. */
+  private applyUnreadable(entry: UnreadableEntry): boolean {
     const {id, revision} = entry;
-    if (!this.table.isLaterUnreadable(entry)) {
+    if (!this.table.isNewerUnreadable(entry)) {
       return false;
     }
-    const departed = this.departures.serverById(id);
-    if (departed !== undefined && !this.departures.hasEnded(id)) {
-      this.settle({...departed, revision});
+    const departed = this.departedServers.serverById(id);
+    if (departed !== undefined && !this.departedServers.hasEnded(id)) {
+      this.storeRecord({...departed, revision});
     }
     this.table.putUnreadable(entry);
-    this.cookies.addId(id);
+    this.cookies.addWithoutRecord(id);
     return true;
   }
 
-  /** Removes a listed server, unless what is held of it is later than the removal. */
-  private depart(entry: RemovedServer, at: number): CatalogServer[] {
+  /** Applies a removal; returns the listed server that departed by it, if any. */
+  private applyRemoval(entry: RemovedServer, at: number): CatalogServer[] {
     const {id} = entry;
     const isListed = this.isListed(id);
-    const wasSucceeded = this.table.isSucceeded(id);
+    const wasSuperseded = this.table.isSuperseded(id);
     const isRemoved = this.table.remove(entry);
     if (!isRemoved) {
       return [];
     }
-    this.ofUnnamedServices.delete(id);
+    this.idsOfUndeclaredServices.delete(id);
     const server = this.serverById(id);
     if (server === undefined || !isListed) {
-      this.departures.addId(id, at);
+      this.departedServers.addWithoutRecord(id, at);
       return [];
     }
-    this.departures.add(server, at);
-    if (wasSucceeded) {
-      this.departures.supersede(server.address, server.port);
+    this.departedServers.add(server, at);
+    if (wasSuperseded) {
+      this.departedServers.supersedeAt(server.address, server.port);
     }
     return [server];
   }
--- a/src/catalog/listing-change.ts
+++ b/src/catalog/listing-change.ts
@@ -1,4 +1,4 @@
-/** What one list of servers says otherwise than another. */
+/** Differences between lists of servers and evacuated domains. */
 import type {
   CatalogServer,
   DomainChange,
@@ -7,41 +7,43 @@
 } from './records.js';
 import type {ServerChanges} from './server-table.js';
 
-/** What a list says otherwise than what is known. */
+/** Changes that lead from the current servers and domains to a newer list. */
 export interface ListingChange extends ServerChanges {
-  /** Changes of domains, the newest of each last. */
+  /** Domain changes; of several for one domain, the newest comes last. */
   readonly domains: readonly DomainChange[];
 }
 
-/** Servers whose state in the eyes of a daemon a change altered. */
+/** Servers whose status at a daemon was altered by a change. */
 export interface AffectedServers {
-  /** Servers that are new, in another state or life, or can be read again. */
+  /** Servers that are new, have another state or incarnation, or are readable again. */
   readonly changed: readonly CatalogServer[];
-  /** Servers that started again under their id, as they are now. */
+  /** Servers that restarted under the same id, with their new records. */
   readonly restarted: readonly CatalogServer[];
-  /** Entries that cannot be read from now on, or were written so again. */
+  /** Entries newly written that cannot be read. */
   readonly unreadable: readonly UnreadableEntry[];
   /** Servers that left the list. */
   readonly departed: readonly CatalogServer[];
 }
 
-/** What leads to a list from the ids and the evacuated domains that are held. */
-export function changesTo(
+/** Returns the changes from the known ids and evacuated domains to a list. */
+export function diffListing(
   {servers, unreadable = [], evacuated, revision}: ServerListing,
-  heldIds: readonly string[],
-  heldDomains: readonly string[],
+  knownIds: readonly string[],
+  knownDomains: readonly string[],
 ): ListingChange {
-  const present = new Set([...servers, ...unreadable].map(({id}) => id));
+  const listedIds = new Set([...servers, ...unreadable].map(({id}) => id));
   return {
     written: servers,
     unreadable,
-    removed: heldIds.filter(id => !present.has(id)).map(id => ({id, revision})),
-    domains: changesOfDomains(heldDomains, evacuated),
+    removed: knownIds
+      .filter(id => !listedIds.has(id))
+      .map(id => ({id, revision})),
+    domains: diffDomains(knownDomains, evacuated),
   };
 }
 
-/** What leads from some evacuated domains to others. */
-export function changesOfDomains(
+/** Returns the changes from some evacuated domains to others. */
+export function diffDomains(
   from: readonly string[],
   to: readonly string[],
 ): DomainChange[] {
--- a/src/catalog/records.ts
+++ b/src/catalog/records.ts
@@ -1,13 +1,13 @@
-/** What all daemons have to know alike: routes and backend servers. */
+/** Records of the catalog that all daemons replicate: routes and backend servers. */
 
-/** What a backend server says of itself. */
+/** State that a backend server reports in its entry. */
 export const ServerState = {READY: 'ready', DRAINING: 'draining'} as const;
-/** One of the states in `ServerState`. */
+/** A value of `ServerState`. */
 export type ServerState = (typeof ServerState)[keyof typeof ServerState];
 
 /**
- * One life of a backend server, by its newest entry that can be read. A server may start
- * again under its id; it then holds nothing of before, and says another time of start.
+ * One incarnation of a backend server, from its newest readable entry. A server may
+ * restart under the same id with another start time; its flows are lost then.
  */
 export interface CatalogServer {
   readonly id: string;
@@ -16,33 +16,33 @@
   readonly address: number;
   readonly port: number;
   readonly failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   readonly state: ServerState;
-  /** Monotonic milliseconds until which it is slow from its start. */
+  /** Monotonic milliseconds until which the server is in slow start. */
   readonly coldUntil: number;
-  /** Revision of the store at which it first appeared. */
+  /** Store revision at which the entry was created. */
   readonly createdRevision: number;
-  /** Revision of the store at which its entry last changed. */
+  /** Store revision at which the entry was last written. */
   readonly revision: number;
   /**
-   * Unix milliseconds of its start by its own clock, which tell its lives apart and say
-   * nothing of their order; 0: not said.
+   * Start time in Unix milliseconds by the server's own clock; 0: not reported. It
+   * identifies an incarnation but does not order incarnations.
    */
   readonly startTime: number;
 }
 
-/** An entry that cannot be read: it names no server to use, and nobody as gone. */
+/** A server entry that cannot be parsed. Its server may be alive but gets no new flows. */
 export interface UnreadableEntry {
   readonly id: string;
   readonly revision: number;
-  /** Why it cannot be read; empty where another daemon told of it. */
+  /** Parse error; empty for an entry learned from a peer. */
   readonly cause: string;
 }
 
 /**
- * All backend servers as of one revision of the store, and the failure domains that the
- * operators have evacuated: their servers take no new flows until they are restored.
+ * All backend servers as of one store revision, and the failure domains that operators
+ * have evacuated: their servers accept no new flows until the domain is restored.
  */
 export interface ServerListing {
   readonly revision: number;
@@ -52,85 +52,85 @@
   readonly evacuated: readonly string[];
 }
 
-/** A service and its share of a route's new flows. */
+/** A service and its weight in the distribution of a route's new flows. */
 export interface ServiceShare {
   readonly service: string;
   readonly weight: number;
 }
 
-/** An address that callers open flows to. */
+/** A destination address of callers and the services that serve it. */
 export interface CatalogRoute {
   readonly address: number;
   readonly port: number;
   readonly shares: readonly ServiceShare[];
-  /** Whether callers send its requests again when they had no answer. */
+  /** Whether callers retry requests that were not answered. */
   readonly repeatable: boolean;
-  /** Regions whose servers alone may take its flows; empty: all may. */
+  /** Regions whose servers may serve the route; empty: all regions. */
   readonly regions: readonly string[];
-  /** How urgent its requests are: 0 is the most urgent. */
+  /** Priority of its requests; 0 is the highest. */
   readonly priority: number;
-  /** Time in which a request is to be answered, in milliseconds; Infinity: none stated. */
+  /** Target response time; Infinity: none configured. */
   readonly targetMs: number;
-  /** Time after which its callers wait no longer, in milliseconds; Infinity: none stated. */
+  /** Request timeout of its callers; Infinity: none configured. */
   readonly limitMs: number;
 }
 
-/** A server whose entry is gone. */
+/** Removal of a server's entry, with the store revision of the removal. */
 export interface RemovedServer {
   readonly id: string;
   readonly revision: number;
 }
 
-/** The operators have evacuated a failure domain, or restored it. */
+/** Evacuation or restoration of a failure domain by an operator. */
 export interface DomainChange {
   readonly failureDomain: string;
   readonly isEvacuated: boolean;
 }
 
-/** What the store reported since an earlier revision. */
+/** Events that the store reported since an earlier revision. */
 export interface CatalogEvents {
-  /** All events up to this revision are in it. */
+  /** Revision up to which the events are complete. */
   readonly revision: number;
-  /** Undefined when no version of the routes was written. */
+  /** The newest route version written; undefined: none. */
   readonly routes: RouteListing | undefined;
-  /** Servers whose entries were written, the newest write of each last. */
+  /** Written server entries; of several for one id, the newest comes last. */
   readonly written: readonly CatalogServer[];
-  /** Entries that were written and cannot be read; undefined: none. */
+  /** Written entries that cannot be parsed; undefined: none. */
   readonly unreadable?: readonly UnreadableEntry[];
   readonly removed: readonly RemovedServer[];
-  /** Domains that were evacuated or restored, the newest change of each last. */
+  /** Domain changes; of several for one domain, the newest comes last. */
   readonly domains: readonly DomainChange[];
-  /** Revision at which the kept copy was last written; undefined: not since then. */
+  /** Revision at which the catalog snapshot was last written; undefined: not written. */
   readonly snapshotRevision?: number;
 }
 
-/** What the operators state of a service whose cold servers take little. */
+/** Rate limit for the cold servers of a service, as configured by operators. */
 export interface ColdService {
   readonly service: string;
-  /** Requests a second that a cold server takes from all daemons together. */
+  /** Requests per second to one cold server, summed over all daemons. */
   readonly requestsPerSecond: number;
 }
 
-/** One version of the operators' routes. */
+/** One version of the route configuration. */
 export interface RouteListing {
   readonly version: number;
   readonly routes: readonly CatalogRoute[];
-  /** Services that state a rate for cold servers. */
+  /** Services with a rate limit for their cold servers. */
   readonly coldServices: readonly ColdService[];
-  /** All services that there are; undefined: not said, so any name may be one. */
+  /** All declared services; undefined: not listed, so any service name is accepted. */
   readonly services?: readonly string[];
 }
 
-/** What tells two states of the catalog apart. */
+/** Version stamp of a catalog: versions, digest and when they were last confirmed. */
 export interface CatalogStamp {
   /** Version of the routes; 0: none yet. */
   readonly routeVersion: number;
-  /** Monotonic milliseconds at which a read last confirmed the routes. */
+  /** Monotonic milliseconds at which the routes were last confirmed to be current. */
   readonly routesConfirmedAt: number;
   /** Revision of the newest list of servers; 0: none yet. */
   readonly serverRevision: number;
-  /** Hash over all servers, their states and the evacuated domains. */
+  /** Hash over all servers, their states and incarnations, and the evacuated domains. */
   readonly serverDigest: number;
-  /** Monotonic milliseconds at which a read last confirmed the servers. */
+  /** Monotonic milliseconds at which the servers were last confirmed to be current. */
   readonly serversConfirmedAt: number;
 }
--- a/src/catalog/route-table.ts
+++ b/src/catalog/route-table.ts
@@ -1,35 +1,34 @@
 /**
- * The routes of the newest version that one daemon knows, and what it remembers of
- * the versions before.
+ * The routes of the newest version known to a daemon, with the services that any known
+ * version assigned to each destination.
  */
 import {destinationKey} from '../routing/flow-key.js';
 import type {CatalogRoute, ColdService, RouteListing} from './records.js';
 
-/** A route with every service that a version known here gave to it. */
+/** A route with all services that any known version assigned to it. */
 export interface KnownRoute extends CatalogRoute {
   readonly allowedServices: ReadonlySet<string>;
 }
 
-/** Routes by destination. */
+/** Route table of one daemon, by destination. */
 export class RouteTable {
   /** Routes of the newest version by `destinationKey`. */
   private readonly routes = new Map<number, KnownRoute>();
-  /** Services that any version gave to a destination, by `destinationKey`. */
-  private readonly allowed = new Map<number, Set<string>>();
+  /** Services that any known version assigned to a destination, by `destinationKey`. */
+  private readonly allowedByDestination = new Map<number, Set<string>>();
   private cold: readonly ColdService[] = [];
-  /** What `serviceNames` answers. */
+  /** All declared services; undefined if a known version omits them. */
   private services: Set<string> | undefined = new Set();
   private newestVersion = 0;
   private lastConfirmedAt = -Infinity;
-  /** When a version was last taken; monotonic milliseconds. */
+  /** Monotonic milliseconds at which the newest version was applied. */
   private changedAt = Infinity;
 
   private constructor(
-    /** Time for which a flow may live, in milliseconds. */
+    /** Maximum lifetime of a flow. */
     private readonly flowLifetimeMs: number,
   ) {}
 
-  /** Creates a table without a version. */
   static create(flowLifetimeMs: number): RouteTable {
     return new RouteTable(flowLifetimeMs);
   }
@@ -39,53 +38,54 @@
     return this.newestVersion;
   }
 
-  /** Monotonic milliseconds at which the version was last known to be the newest. */
+  /** Monotonic milliseconds at which the version was last confirmed to be the newest. */
   get confirmedAt(): number {
     return this.lastConfirmedAt;
   }
 
   /**
-   * Whether every flow that lives was opened by a version that is known: no other
-   * one came for as long as a flow lives, neither here nor skipped on the way here.
+   * Whether all live flows were opened under known versions. That holds once the newest
+   * version has been unchanged for a flow lifetime; a version that was superseded before
+   * this daemon read it could have opened flows until then.
    */
-  get knowsVersions(): boolean {
+  get hasFullHistory(): boolean {
     return this.lastConfirmedAt - this.changedAt >= this.flowLifetimeMs;
   }
 
-  /** The route of a destination. */
+  /** Returns the route of a destination. */
   find(address: number, port: number): KnownRoute | undefined {
     return this.routes.get(destinationKey(address, port));
   }
 
-  /** All routes. */
+  /** Returns all routes. */
   all(): KnownRoute[] {
     return [...this.routes.values()];
   }
 
-  /** Services whose cold servers take no more than a stated rate. */
+  /** Services that limit the request rate of their cold servers. */
   get coldServices(): readonly ColdService[] {
     return this.cold;
   }
 
-  /** All services that versions known here named; undefined: one did not tell. */
+  /** All services declared by known versions; undefined if one omits them. */
   get serviceNames(): readonly string[] | undefined {
     return this.services && [...this.services];
   }
 
   /**
-   * Whether a version known here names a service. What is of another may be anybody's;
-   * while no version tells all services, nothing is.
+   * Whether a known version declares a service. Every service counts as declared while
+   * no version is known or one omits its services.
    */
-  names(service: string): boolean {
+  declaresService(service: string): boolean {
     return this.newestVersion === 0 || this.services?.has(service) !== false;
   }
 
   /**
-   * Takes a version that a read at `confirmedAt` (monotonic milliseconds) showed to be
-   * the newest, or that was the newest some time before `changedAt`; true if it is newer
-   * than the one held. An older one changes nothing.
+   * Applies a version that was the newest at `confirmedAt`, or at an unknown time before
+   * `changedAt`; both in monotonic milliseconds. Returns whether it is newer than the
+   * current version; an older one is ignored.
    */
-  take(
+  apply(
     listing: RouteListing,
     confirmedAt: number,
     changedAt = confirmedAt,
@@ -102,37 +102,38 @@
     this.cold = listing.coldServices;
     this.routes.clear();
     listing.routes.forEach(route => this.put(route));
-    this.noteServices(listing);
+    this.mergeServices(listing);
     return true;
   }
 
-  /** Notes that the version held was still the newest at a time. */
+  /** Records that the current version was still the newest at a time. */
   confirm(at: number): void {
     this.lastConfirmedAt = Math.max(this.lastConfirmedAt, at);
   }
 
-  private noteServices({services, routes}: RouteListing): void {
-    const shared = routes.flatMap(({shares}) =>
+  /** Adds the services that a version declares or routes to. */
+  private mergeServices({services, routes}: RouteListing): void {
+    const routed = routes.flatMap(({shares}) =>
       shares.map(({service}) => service),
     );
     this.services =
       services === undefined || this.services === undefined
         ? undefined
-        : new Set([...this.services, ...services, ...shared]);
+        : new Set([...this.services, ...services, ...routed]);
   }
 
   private put(route: CatalogRoute): void {
     const key = destinationKey(route.address, route.port);
     const services = route.shares.map(({service}) => service);
-    const allowedServices = this.allow(key, services);
+    const allowedServices = this.allowServices(key, services);
     this.routes.set(key, {...route, allowedServices});
   }
 
-  /** Adds services to those of a destination; returns all of them. */
-  private allow(key: number, services: readonly string[]): Set<string> {
-    const known = this.allowed.get(key) ?? new Set<string>();
+  /** Adds to the services of a destination; returns all of them. */
+  private allowServices(key: number, services: readonly string[]): Set<string> {
+    const known = this.allowedByDestination.get(key) ?? new Set<string>();
     services.forEach(service => known.add(service));
-    this.allowed.set(key, known);
+    this.allowedByDestination.set(key, known);
     return known;
   }
 }
--- a/src/catalog/server-table.ts
+++ b/src/catalog/server-table.ts
@@ -1,7 +1,7 @@
 /**
- * The listed backend servers of one daemon and the evacuated failure domains, with
- * what is worked out from them: who takes new flows, a digest, and what changed since
- * a revision. Each change costs the same however many servers there are.
+ * The listed backend servers and evacuated failure domains of one daemon, with the open
+ * servers per service, a digest for anti-entropy and the changes since a revision.
+ * The cost of applying a change does not depend on the number of servers.
  */
 import type {Hasher} from '../ports/hasher.js';
 import {AddressOwners} from './address-owners.js';
@@ -14,10 +14,10 @@
 } from './records.js';
 import {Tombstones} from './tombstones.js';
 
-/** Sets the digest's hashes apart from those of other uses. */
+/** Hash seed, distinct from those of other uses of the hasher. */
 const DIGEST_SEED = 23;
 
-/** Servers that changed since a revision. */
+/** Server entries written or removed since a revision. */
 export interface ServerChanges {
   readonly written: readonly CatalogServer[];
   /** Entries that cannot be read; undefined: none. */
@@ -26,53 +26,48 @@
 }
 
 /**
- * The listed servers. Of each id the newest entry that can be read, the newest that
- * cannot, and the newest removal are held, each by its revision; so the order in which
- * they come does not matter.
+ * The listed servers. For each id the table keeps the newest readable entry, the newest
+ * unreadable entry and the newest removal with their revisions, so that updates commute.
  */
 export class ServerTable {
   private readonly servers = new Map<string, CatalogServer>();
-  /** Newest entries that cannot be read, where none that can be came later. */
+  /** Unreadable entries newer than any readable one, by server id. */
   private readonly unreadable = new Map<string, UnreadableEntry>();
-  private readonly addresses = AddressOwners.create();
-  /** Listed servers that take new flows, for the services that were asked for. */
-  private readonly open = new Map<string, readonly CatalogServer[]>();
+  private readonly addressOwners = AddressOwners.create();
+  /** Cached results of `openServers`, by service. */
+  private readonly openByService = new Map<string, readonly CatalogServer[]>();
   private readonly evacuated = new Set<string>();
-  private readonly removals = Tombstones.create();
-  /**
-   * Exclusive or over the hashes of all listed servers and evacuated domains, as an
-   * unsigned number.
-   */
+  private readonly tombstones = Tombstones.create();
+  /** XOR of the hashes of all listed servers and evacuated domains, unsigned. */
   private combinedHash = 0;
 
   private constructor(private readonly hasher: Hasher) {}
 
-  /** Creates an empty table. */
   static create(hasher: Hasher): ServerTable {
     return new ServerTable(hasher);
   }
 
-  /** The same for equal sets of servers and domains, in whatever order they came. */
+  /** Order-independent hash of the listed servers and evacuated domains. */
   get digest(): number {
     return this.combinedHash;
   }
 
-  /** All listed servers of which an entry was read, in the order of their coming. */
+  /** Returns all listed servers that have a readable entry, in order of arrival. */
   all(): CatalogServer[] {
     return [...this.servers.values()];
   }
 
-  /** Ids of all entries, whether they can be read or not. */
+  /** Returns the ids of all entries, readable or not. */
   ids(): string[] {
     return [...new Set([...this.servers.keys(), ...this.unreadable.keys()])];
   }
 
-  /** A listed server, by its newest entry that can be read. */
+  /** Returns the newest readable entry of a listed server. */
   get(id: string): CatalogServer | undefined {
     return this.servers.get(id);
   }
 
-  /** Newest entries that cannot be read. */
+  /** Returns all unreadable entries. */
   unreadableEntries(): UnreadableEntry[] {
     return [...this.unreadable.values()];
   }
@@ -82,20 +77,20 @@
     return this.unreadable.has(id);
   }
 
-  /** Whether a later server has the address of a listed one. */
-  isSucceeded(id: string): boolean {
-    return this.addresses.isSucceeded(id);
+  /** Whether a newer server has taken the address of a listed one. */
+  isSuperseded(id: string): boolean {
+    return this.addressOwners.isSuperseded(id);
   }
 
-  /** Servers that were succeeded since this was asked last. */
-  takeSucceeded(): CatalogServer[] {
-    return this.addresses
-      .takeSucceeded()
+  /** Returns the servers superseded since the last call. */
+  takeSuperseded(): CatalogServer[] {
+    return this.addressOwners
+      .takeSuperseded()
       .flatMap(id => this.servers.get(id) ?? []);
   }
 
-  /** Whether a record is of a server that is new, in another state or another life. */
-  isNews(server: CatalogServer): boolean {
+  /** Whether a record shows a new server, state or incarnation, or is readable again. */
+  isNewOrChanged(server: CatalogServer): boolean {
     const known = this.servers.get(server.id);
     return (
       known === undefined ||
@@ -105,72 +100,73 @@
     );
   }
 
-  /** Whether an entry that can be read is later than what is held of its id. */
-  isLater({id, revision}: CatalogServer): boolean {
+  /** Whether a readable entry is newer than the known one and any removal of its id. */
+  isNewer({id, revision}: CatalogServer): boolean {
     const known = this.servers.get(id)?.revision ?? -Infinity;
-    return revision > Math.max(known, this.removals.revisionOf(id));
+    return revision > Math.max(known, this.tombstones.revisionOf(id));
   }
 
-  /** Whether an entry that cannot be read is later than what is held of its id. */
-  isLaterUnreadable({id, revision}: UnreadableEntry): boolean {
+  /** Whether an unreadable entry is newer than any known entry or removal of its id. */
+  isNewerUnreadable({id, revision}: UnreadableEntry): boolean {
     return (
-      revision > Math.max(this.revisionOf(id), this.removals.revisionOf(id))
+      revision > Math.max(this.revisionOf(id), this.tombstones.revisionOf(id))
     );
   }
 
   /**
-   * Takes a later entry of a server. One that may be anybody's (`isNamed` is false: no
-   * version names its service) has ended nobody at its address.
+   * Stores a newer entry of a server. If its service is not declared, the entry may be
+   * bogus and does not supersede other servers at its address.
    */
-  put(server: CatalogServer, isNamed: boolean): void {
+  put(server: CatalogServer, isDeclared: boolean): void {
     const known = this.servers.get(server.id);
     const unreadable = this.unreadable.get(server.id);
-    this.change(server.id, () => {
+    this.updateWithDigest(server.id, () => {
       this.servers.set(server.id, server);
       if (unreadable !== undefined && unreadable.revision < server.revision) {
         this.unreadable.delete(server.id);
       }
     });
-    this.noteAddress(server, known, isNamed);
-    [server, known].forEach(each => this.open.delete(each?.service ?? ''));
+    this.updateAddressOwner(server, known, isDeclared);
+    [server, known].forEach(each =>
+      this.openByService.delete(each?.service ?? ''),
+    );
   }
 
-  /** Takes a later entry that cannot be read: the server is held as it was. */
+  /** Stores a newer unreadable entry; the server's last readable record is kept. */
   putUnreadable(entry: UnreadableEntry): void {
-    this.change(entry.id, () => this.unreadable.set(entry.id, entry));
-    this.open.delete(this.servers.get(entry.id)?.service ?? '');
+    this.updateWithDigest(entry.id, () => this.unreadable.set(entry.id, entry));
+    this.openByService.delete(this.servers.get(entry.id)?.service ?? '');
   }
 
   /**
-   * Removes an id that the list of a revision does not hold, unless what is held is
-   * later; false then, and if nothing is.
+   * Removes a server id that is missing from the list at a revision. Returns false if the
+   * known entry is newer or the id is unknown.
    */
   remove({id, revision}: RemovedServer): boolean {
     if (this.revisionOf(id) > revision) {
       return false;
     }
     const isKnown = this.servers.has(id) || this.unreadable.has(id);
-    this.open.delete(this.servers.get(id)?.service ?? '');
-    this.change(id, () => {
+    this.openByService.delete(this.servers.get(id)?.service ?? '');
+    this.updateWithDigest(id, () => {
       this.servers.delete(id);
       this.unreadable.delete(id);
     });
-    this.addresses.forget(id);
-    this.removals.note({id, revision});
+    this.addressOwners.release(id);
+    this.tombstones.recordRemoval({id, revision});
     return isKnown;
   }
 
-  /** The failure domains whose servers take no new flows. */
+  /** Returns the failure domains whose servers accept no new flows. */
   evacuatedDomains(): string[] {
     return [...this.evacuated];
   }
 
-  /** Whether a server's failure domain is evacuated. */
   isEvacuated({failureDomain}: CatalogServer): boolean {
     return this.evacuated.has(failureDomain);
   }
 
-  /** Takes a change of a failure domain; false if it is none. */
+  /** Evacuates or restores a failure domain; returns whether that changed anything. */
   changeDomain({failureDomain, isEvacuated}: DomainChange): boolean {
     if (this.evacuated.has(failureDomain) === isEvacuated) {
       return false;
@@ -180,19 +176,19 @@
     } else {
       this.evacuated.delete(failureDomain);
     }
-    this.toggle(`evacuated/${failureDomain}`);
-    this.open.clear();
+    this.toggleHash(`evacuated/${failureDomain}`);
+    this.openByService.clear();
     return true;
   }
 
-  /** Notes that the table is complete as of a revision, and not before. */
-  startAt(revision: number): void {
-    this.removals.startAt(revision);
+  /** Declares the change history complete from a revision on. */
+  startHistoryAt(revision: number): void {
+    this.tombstones.startHistoryAt(revision);
   }
 
-  /** Listed servers of a service that take new flows. */
+  /** Returns the listed servers of a service that accept new flows. */
   openServers(service: string): readonly CatalogServer[] {
-    const known = this.open.get(service);
+    const known = this.openByService.get(service);
     if (known !== undefined) {
       return known;
     }
@@ -202,15 +198,15 @@
         server.state === ServerState.READY &&
         !this.isUnreadable(server.id) &&
         !this.isEvacuated(server) &&
-        !this.isSucceeded(server.id),
+        !this.isSuperseded(server.id),
     );
-    this.open.set(service, open);
+    this.openByService.set(service, open);
     return open;
   }
 
-  /** Changes after a revision; undefined when only the whole list tells them. */
+  /** Returns the changes after a revision; undefined if the history is too short. */
   changesSince(revision: number): ServerChanges | undefined {
-    const removed = this.removals.after(revision);
+    const removed = this.tombstones.listAfter(revision);
     return removed === undefined
       ? undefined
       : {
@@ -223,8 +219,8 @@
   }
 
   /**
-   * Hash over the records held of servers whose entries cannot be read; 0 if there is
-   * none. Daemons with the same entries may hold other records of them.
+   * Hash of the last readable records of servers with unreadable entries; 0 if there are
+   * none. `digest` leaves these out, since daemons with equal lists may differ in them.
    */
   get unreadableDigest(): number {
     return (
@@ -236,20 +232,19 @@
     );
   }
 
-  /** Of two servers at one address, the one that came earlier has ended. */
-  private noteAddress(
+  private updateAddressOwner(
     server: CatalogServer,
     known: CatalogServer | undefined,
-    isNamed: boolean,
+    isDeclared: boolean,
   ): void {
-    if (isNamed) {
-      const ended = this.addresses.put(server, known);
+    if (isDeclared) {
+      const ended = this.addressOwners.put(server, known);
       const service = this.servers.get(ended ?? '')?.service;
-      this.open.delete(service ?? '');
+      this.openByService.delete(service ?? '');
     }
   }
 
-  /** Revision of the newest entry of an id, whether it can be read or not. */
+  /** Returns the revision of the newest entry of an id, readable or not. */
   private revisionOf(id: string): number {
     return Math.max(
       this.servers.get(id)?.revision ?? -Infinity,
@@ -257,27 +252,27 @@
     );
   }
 
-  /** Changes what is held of an id, and the digest with it. */
-  private change(id: string, change: () => void): void {
+  /** Runs an update of an id's entries and adjusts the digest. */
+  private updateWithDigest(id: string, update: () => void): void {
     this.toggleInDigest(id);
-    change();
+    update();
     this.toggleInDigest(id);
   }
 
-  /** Adds an id's entry to the digest, or takes it out again. */
+  /** Adds an id's entry to the digest or removes it, since XOR is its own inverse. */
   private toggleInDigest(id: string): void {
     const server = this.servers.get(id);
     if (this.isUnreadable(id)) {
-      this.toggle(`${id}/unreadable`);
+      this.toggleHash(`${id}/unreadable`);
     } else if (server !== undefined) {
       const {state, startTime} = server;
-      this.toggle(
+      this.toggleHash(
         startTime === 0 ? `${id}/${state}` : `${id}/${state}/${startTime}`,
       );
     }
   }
 
-  private toggle(record: string): void {
+  private toggleHash(record: string): void {
     this.combinedHash = (this.combinedHash ^ this.hashOf(record)) >>> 0;
   }
 
--- a/src/catalog/tombstones.ts
+++ b/src/catalog/tombstones.ts
@@ -1,51 +1,50 @@
 /**
- * When the entries of servers went, for peers that ask what changed, and so that a late
- * answer does not list a server again.
+ * Tombstones of removed server entries. They tell peers what was removed since a revision
+ * and keep a delayed answer from listing a removed server again.
  */
 import type {RemovedServer} from './records.js';
 
-/** Removals remembered; older ones cost peers that pull the whole list. */
-const MAXIMUM_REMOVALS = 2_000;
+/** Maximum number of tombstones kept; peers that lag behind them pull the whole list. */
+const MAXIMUM_TOMBSTONES = 2_000;
 
-/** The newest removals of one daemon's list. */
+/** The newest removals of one daemon's server list. */
 export class Tombstones {
-  /** Revisions at which entries went, by id, the newest last. */
+  /** Revisions of removals by server id, in order of recording. */
   private readonly revisions = new Map<string, number>();
-  /** All removals after this revision are remembered. */
+  /** Revision after which the tombstones are complete. */
   private completeSince = 0;
 
   private constructor() {}
 
-  /** Creates an empty record. */
   static create(): Tombstones {
     return new Tombstones();
   }
 
-  /** Notes that nothing is known of removals up to a revision. */
-  startAt(revision: number): void {
+  /** Declares removals up to a revision unknown. */
+  startHistoryAt(revision: number): void {
     this.completeSince = revision;
   }
 
-  /** The revision of the newest removal of an id; -Infinity: none is known. */
+  /** Returns the revision of the newest removal of an id; -Infinity: none known. */
   revisionOf(id: string): number {
     return this.revisions.get(id) ?? -Infinity;
   }
 
-  /** Remembers a removal; when there are too many, the older half is dropped. */
-  note({id, revision}: RemovedServer): void {
+  /** Records a removal; drops the oldest half when the maximum is exceeded. */
+  recordRemoval({id, revision}: RemovedServer): void {
     const newest = Math.max(revision, this.revisionOf(id));
     this.revisions.delete(id);
     this.revisions.set(id, newest);
-    if (this.revisions.size > MAXIMUM_REMOVALS) {
-      const dropped = [...this.revisions].slice(0, MAXIMUM_REMOVALS / 2);
+    if (this.revisions.size > MAXIMUM_TOMBSTONES) {
+      const dropped = [...this.revisions].slice(0, MAXIMUM_TOMBSTONES / 2);
       dropped.forEach(([old]) => this.revisions.delete(old));
       const upTo = dropped.map(([, at]) => at);
       this.completeSince = Math.max(this.completeSince, ...upTo);
     }
   }
 
-  /** Removals after a revision; undefined when not all of them are remembered. */
-  after(revision: number): RemovedServer[] | undefined {
+  /** Returns the removals after a revision; undefined if some may have been dropped. */
+  listAfter(revision: number): RemovedServer[] | undefined {
     return revision < this.completeSince
       ? undefined
       : [...this.revisions]
