--- a/src/catalog/catalog.spec.ts
+++ b/src/catalog/catalog.spec.ts
@@ -9,7 +9,7 @@
 
 const hasher = await XxhashHasher.create();
 
-const NOTHING = {
+const EMPTY_STATE = {
   asker: 1,
   routeVersion: 0,
   serverRevision: 0,
@@ -20,7 +20,7 @@
   return Catalog.create({hasher, flowLifetimeMs: 60_000});
 }
 
-function serverOf(
+function createServer(
   id: string,
   revision: number,
   part: Partial<CatalogServer> = {},
@@ -48,10 +48,10 @@
     .sort();
 }
 
-test('a later server at the address of a listed one is proof that that one ended', () => {
+test('a listed server has ended once a newer server takes its address', () => {
   const catalog = createCatalog();
-  const old = serverOf('i-1', 1, {address: 7});
-  const next = serverOf('i-2', 2, {address: 7, service: 'docs'});
+  const old = createServer('i-1', 1, {address: 7});
+  const next = createServer('i-2', 2, {address: 7, service: 'docs'});
   catalog.takeServers({revision: 1, servers: [old], evacuated: []}, 0);
   assert.equal(catalog.hasEnded(old), false);
   catalog.takeServers({revision: 2, servers: [old, next], evacuated: []}, 500);
@@ -60,18 +60,18 @@
   assert.deepEqual(openIds(catalog), []);
 });
 
-test('a lapsed server whose address a later server takes gets no openings any more', () => {
+test('an expired server gets no new flows once a newer server takes its address', () => {
   const catalog = createCatalog();
-  const lapsed = serverOf('i-1', 1, {address: 7});
-  const other = serverOf('i-2', 2, {address: 8});
+  const expired = createServer('i-1', 1, {address: 7});
+  const other = createServer('i-2', 2, {address: 8});
   catalog.takeServers(
-    {revision: 2, servers: [lapsed, other], evacuated: []},
+    {revision: 2, servers: [expired, other], evacuated: []},
     0,
   );
-  // The store was away: the entry may have lapsed although its server lives.
+  // After a store outage the entry may have expired although its server is alive.
   catalog.takeServers({revision: 5, servers: [other], evacuated: []}, 10_000);
   assert.deepEqual(openIds(catalog), ['i-1', 'i-2']);
-  const next = serverOf('i-3', 6, {address: 7, service: 'docs'});
+  const next = createServer('i-3', 6, {address: 7, service: 'docs'});
   catalog.takeEvents(
     {revision: 6, routes: undefined, written: [next], removed: [], domains: []},
     10_200,
@@ -87,70 +87,87 @@
   {maxLength: 20},
 );
 
-test('events taken twice, late or in part lead to the list that the store holds', () => {
+test('duplicate, late and partial events converge to the list in the store', () => {
   fc.assert(
-    fc.property(EVENTS, fc.nat(20), fc.nat(20), (changes, start, again) => {
-      const events = changes.map(({id, kind}, index) => ({
-        id,
-        kind,
-        revision: index + 1,
-      }));
-      const listed = (upTo: number) =>
-        [...new Set(events.slice(0, upTo).map(({id}) => id))].flatMap(id => {
-          const last = events
-            .slice(0, upTo)
-            .filter(event => event.id === id)
-            .pop();
-          return last === undefined || last.kind === 'removed'
-            ? []
-            : [stateOf(id, last.kind, last.revision)];
-        });
-      const catalog = createCatalog();
-      const from = Math.min(start, events.length);
-      catalog.takeServers(
-        {revision: from, servers: listed(from), evacuated: []},
-        0,
-      );
-      const feed = (after: number) =>
-        catalog.takeEvents(
-          {
-            revision: events.length,
-            routes: undefined,
-            written: events
-              .slice(after)
-              .filter(({kind}) => kind !== 'removed')
-              .map(({id, kind, revision}) => stateOf(id, kind, revision)),
-            removed: events
-              .slice(after)
-              .filter(({kind}) => kind === 'removed')
-              .map(({id, revision}) => ({id, revision})),
-            domains: [],
-          },
-          1,
+    fc.property(
+      EVENTS,
+      fc.nat(20),
+      fc.nat(20),
+      (changes, start, repeatFrom) => {
+        const events = changes.map(({id, kind}, index) => ({
+          id,
+          kind,
+          revision: index + 1,
+        }));
+        const listed = (upTo: number) =>
+          [...new Set(events.slice(0, upTo).map(({id}) => id))].flatMap(id => {
+            const last = events
+              .slice(0, upTo)
+              .filter(event => event.id === id)
+              .pop();
+            return last === undefined || last.kind === 'removed'
+              ? []
+              : [createServerInState(id, last.kind, last.revision)];
+          });
+        const catalog = createCatalog();
+        const from = Math.min(start, events.length);
+        catalog.takeServers(
+          {revision: from, servers: listed(from), evacuated: []},
+          0,
         );
-      feed(Math.min(again, from));
-      feed(from);
-      const expected = listed(events.length).map(({id, state}) => [id, state]);
-      const held = catalog.allServers().map(({id, state}) => [id, state]);
-      assert.deepEqual(held.sort(), expected.sort());
-    }),
+        const feed = (after: number) =>
+          catalog.takeEvents(
+            {
+              revision: events.length,
+              routes: undefined,
+              written: events
+                .slice(after)
+                .filter(({kind}) => kind !== 'removed')
+                .map(({id, kind, revision}) =>
+                  createServerInState(id, kind, revision),
+                ),
+              removed: events
+                .slice(after)
+                .filter(({kind}) => kind === 'removed')
+                .map(({id, revision}) => ({id, revision})),
+              domains: [],
+            },
+            1,
+          );
+        feed(Math.min(repeatFrom, from));
+        feed(from);
+        const expected = listed(events.length).map(({id, state}) => [
+          id,
+          state,
+        ]);
+        const held = catalog.allServers().map(({id, state}) => [id, state]);
+        assert.deepEqual(held.sort(), expected.sort());
+      },
+    ),
     {seed: 8, numRuns: 300},
   );
 });
 
-function stateOf(id: string, kind: string, revision: number): CatalogServer {
+function createServerInState(
+  id: string,
+  kind: string,
+  revision: number,
+): CatalogServer {
   const state: ServerState = kind === 'draining' ? 'draining' : 'ready';
-  return serverOf(id, revision, {state, address: Number(id.slice(2))});
+  return createServer(id, revision, {state, address: Number(id.slice(2))});
 }
 
-test('a peer that pulls holds the same', () => {
+test('a daemon that pulls from a peer has an equal catalog', () => {
   const holder = createCatalog();
   const route = createRoute('docs', {address: 1, port: 2, repeatable: true});
   holder.takeRoutes({version: 2, routes: [route], coldServices: []}, 1_000);
-  const servers = [serverOf('i-1', 3), serverOf('i-2', 4, {state: 'draining'})];
+  const servers = [
+    createServer('i-1', 3),
+    createServer('i-2', 4, {state: 'draining'}),
+  ];
   holder.takeServers({revision: 9, servers, evacuated: []}, 1_500);
   const puller = createCatalog();
-  applyUpdate(puller, updateFor(holder, NOTHING, 2_000), 7_000);
+  applyUpdate(puller, updateFor(holder, EMPTY_STATE, 2_000), 7_000);
   const {routesConfirmedAt, serversConfirmedAt, ...held} = puller.stamp;
   const {stamp} = holder;
   assert.deepEqual(held, {
@@ -162,7 +179,7 @@
   assert.equal(serversConfirmedAt, 6_500);
   const [pulled] = puller.allRoutes();
   assert.deepEqual([...pulled.allowedServices], ['docs']);
-  assert.deepEqual(updateFor(holder, {...NOTHING, ...held}, 0), {
+  assert.deepEqual(updateFor(holder, {...EMPTY_STATE, ...held}, 0), {
     routes: undefined,
     servers: undefined,
     other: 0,
@@ -170,7 +187,7 @@
   });
 });
 
-test("a peer's revision is not taken before its routes are", () => {
+test("a peer's revision is not adopted before its routes are", () => {
   const catalog = createCatalog();
   catalog.takeServers({revision: 5, servers: [], evacuated: []}, 0);
   catalog.takeRoutes({version: 1, routes: [], coldServices: []}, 0);
@@ -189,7 +206,7 @@
   {maxLength: 12},
 );
 
-/** Evacuated domains after some changes, of revisions 1, 2 and so on. */
+/** Returns the evacuated domains after changes at revisions 1, 2 and so on. */
 function evacuatedAfter(changes: readonly DomainChange[]): string[] {
   const states = new Map(
     changes.map(change => [change.failureDomain, change.isEvacuated]),
@@ -197,13 +214,13 @@
   return [...states.keys()].filter(name => states.get(name) === true).sort();
 }
 
-test('evacuations taken twice, late, in part or from a peer lead to those of the store', () => {
+test('duplicate, late, partial and pulled evacuations converge to those in the store', () => {
   fc.assert(
     fc.property(
       DOMAIN_CHANGES,
       fc.array(fc.tuple(fc.nat(12), fc.nat(12)), {maxLength: 6}),
       fc.boolean(),
-      (changes, windows, isWhole) => {
+      (changes, windows, isFullPull) => {
         const catalog = createCatalog();
         const holder = createCatalog();
         const none = {servers: [], evacuated: []};
@@ -221,15 +238,15 @@
             },
             1,
           );
-        // Waits begin at a revision that is held, and some answers come late.
+        // Watches start at a known revision, and some answers arrive late.
         windows.forEach(([from, upTo]) => {
           const held = catalog.stamp.serverRevision - 1;
           feed(catalog, Math.min(from, held), Math.min(upTo, changes.length));
         });
         feed(holder, 0, changes.length);
         const {serverRevision, serverDigest} = catalog.stamp;
-        const from = isWhole ? 0 : serverRevision;
-        const held = {...NOTHING, serverRevision: from, serverDigest};
+        const from = isFullPull ? 0 : serverRevision;
+        const held = {...EMPTY_STATE, serverRevision: from, serverDigest};
         applyUpdate(catalog, updateFor(holder, held, 2), 2);
         const expected = evacuatedAfter(changes);
         assert.deepEqual(catalog.evacuatedDomains().sort(), expected);
@@ -240,45 +257,45 @@
   );
 });
 
-test('catalogs with other evacuations have other digests, so that one pulls', () => {
-  const [calm, evacuated] = [[], ['a']].map(domains => {
+test('catalogs with different evacuations have different digests', () => {
+  const [unevacuated, evacuated] = [[], ['a']].map(domains => {
     const catalog = createCatalog();
-    const servers = [serverOf('i-1', 1)];
+    const servers = [createServer('i-1', 1)];
     catalog.takeServers({revision: 1, servers, evacuated: domains}, 0);
     return catalog;
   });
-  assert.notEqual(calm.stamp.serverDigest, evacuated.stamp.serverDigest);
+  assert.notEqual(unevacuated.stamp.serverDigest, evacuated.stamp.serverDigest);
 });
 
-test('an answer that was sent before a restoration does not evacuate again', () => {
+test('an answer sent before a restoration does not evacuate the domain again', () => {
   const holder = createCatalog();
   const late = createCatalog();
-  const servers = [serverOf('i-1', 1)];
+  const servers = [createServer('i-1', 1)];
   holder.takeServers({revision: 5, servers, evacuated: []}, 0);
   late.takeServers({revision: 3, servers, evacuated: ['a']}, 0);
-  const held = {...NOTHING, serverRevision: 2};
+  const held = {...EMPTY_STATE, serverRevision: 2};
   applyUpdate(holder, updateFor(late, held, 1), 1);
   assert.deepEqual(holder.evacuatedDomains(), []);
   assert.deepEqual(openIds(holder), ['i-1']);
 });
 
-test('a lapsed server of an evacuated domain gets no openings', () => {
+test('an expired server of an evacuated domain gets no new flows', () => {
   const catalog = createCatalog();
-  const lapsed = serverOf('i-1', 1, {failureDomain: 'b'});
-  const other = serverOf('i-2', 2);
-  const servers = [lapsed, other];
+  const expired = createServer('i-1', 1, {failureDomain: 'b'});
+  const other = createServer('i-2', 2);
+  const servers = [expired, other];
   catalog.takeServers({revision: 2, servers, evacuated: []}, 0);
-  // The store was away: the entry may have lapsed although its server lives.
+  // After a store outage the entry may have expired although its server is alive.
   const after = {revision: 5, servers: [other], evacuated: ['b']};
   catalog.takeServers(after, 10_000);
   assert.deepEqual(openIds(catalog), ['i-2']);
 });
 
-test('a pull after one change carries that change alone, and leads to the same list', () => {
+test('a pull after a few changes carries only those and yields the same list', () => {
   const holder = createCatalog();
   const puller = createCatalog();
   const first = Array.from({length: 50}, (_server, index) =>
-    serverOf(`i-${index}`, index + 1),
+    createServer(`i-${index}`, index + 1),
   );
   [holder, puller].forEach(catalog =>
     catalog.takeServers({revision: 50, servers: first, evacuated: []}, 0),
@@ -288,7 +305,7 @@
       revision: 53,
       routes: undefined,
       written: [
-        serverOf('i-60', 51),
+        createServer('i-60', 51),
         {...first[7], state: 'draining', revision: 52},
       ],
       removed: [{id: 'i-3', revision: 53}],
@@ -309,7 +326,7 @@
   assert.equal(old.servers?.servers.length, 50);
 });
 
-test('digests are the same for the same servers, however they came', () => {
+test('equal servers have equal digests, in whatever order they arrived', () => {
   fc.assert(
     fc.property(EVENTS, changes => {
       const catalog = createCatalog();
@@ -321,7 +338,7 @@
           {
             revision,
             routes: undefined,
-            written: isRemoved ? [] : [stateOf(id, kind, revision)],
+            written: isRemoved ? [] : [createServerInState(id, kind, revision)],
             removed: isRemoved ? [{id, revision}] : [],
             domains: [],
           },
--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -188,7 +188,7 @@
     return Math.max(coldUntil, domainColdUntil) > now;
   }
 
-  /** Returns a server's cookie at a route; undefined if an older server has its hash. */
+  /** Returns a server's cookie at a route; undefined if the server owns none. */
   cookieOf(server: CatalogServer, route: KnownRoute): number | undefined {
     return this.servers.cookies.cookieOf(server, this.getMask(route));
   }
--- a/src/catalog/cookie-index.spec.ts
+++ b/src/catalog/cookie-index.spec.ts
@@ -6,8 +6,8 @@
 import {CookieIndex} from './cookie-index.js';
 import type {CatalogServer} from './records.js';
 
-/** Few values, so that servers meet in a cookie. */
-class NarrowHasher extends Hasher {
+/** Returns few distinct hashes, so that cookies collide. */
+class CollidingHasher extends Hasher {
   hashBytes(): number {
     return 0;
   }
@@ -17,7 +17,11 @@
   }
 }
 
-function serverOf(id: string, service: string, created: number): CatalogServer {
+function createServer(
+  id: string,
+  service: string,
+  created: number,
+): CatalogServer {
   return {
     id,
     service,
@@ -36,14 +40,16 @@
 const SERVERS = fc
   .uniqueArray(fc.string({minLength: 1, maxLength: 9}), {maxLength: 12})
   .map(ids =>
-    ids.map((id, index) => serverOf(id, index % 2 === 0 ? 'a' : 'b', index)),
+    ids.map((id, index) =>
+      createServer(id, index % 2 === 0 ? 'a' : 'b', index),
+    ),
   );
 
-test('a cookie that is given out names its server alone, in any order of arrival', () => {
+test('assigned cookies are unique and name their servers, in any order of arrival', () => {
   fc.assert(
-    fc.property(SERVERS, fc.nat(), fc.nat(3), (servers, turn, mask) => {
-      const index = CookieIndex.create(new NarrowHasher());
-      const start = turn % Math.max(1, servers.length);
+    fc.property(SERVERS, fc.nat(), fc.nat(3), (servers, rotation, mask) => {
+      const index = CookieIndex.create(new CollidingHasher());
+      const start = rotation % Math.max(1, servers.length);
       [...servers.slice(start), ...servers.slice(0, start)].forEach(server =>
         index.put(server),
       );
@@ -54,19 +60,19 @@
           assert.equal(index.find(cookie, mask)[0].id, server.id);
         }
       });
-      const given = servers.flatMap(
+      const assigned = servers.flatMap(
         server => index.cookieOf(server, mask) ?? [],
       );
-      assert.equal(new Set(given).size, given.length);
+      assert.equal(new Set(assigned).size, assigned.length);
     }),
     {seed: 2},
   );
 });
 
-test('a cookie of one destination names nobody at another', () => {
+test('a cookie of one destination names no server at another', () => {
   const index = CookieIndex.create(ScriptXxhashHasher.create());
   const servers = Array.from({length: 200}, (_server, number) =>
-    serverOf(`i-${number}`, 'a', number),
+    createServer(`i-${number}`, 'a', number),
   );
   servers.forEach(server => index.put(server));
   const [here, there] = [1, 2].map(key => index.computeMask(key));
@@ -77,10 +83,10 @@
   });
 });
 
-test('a second server of a cookie gets it once the first is forgotten', () => {
-  const index = CookieIndex.create(new NarrowHasher());
-  const first = serverOf('xx', 'a', 1);
-  const second = serverOf('yy', 'a', 2);
+test('a cookie passes to the next server of equal hash once its owner is removed', () => {
+  const index = CookieIndex.create(new CollidingHasher());
+  const first = createServer('xx', 'a', 1);
+  const second = createServer('yy', 'a', 2);
   index.put(second);
   index.put(first);
   assert.equal(index.cookieOf(first, 0), 2);
--- a/src/catalog/cookie-index.ts
+++ b/src/catalog/cookie-index.ts
@@ -65,7 +65,7 @@
   }
 
   /** Returns the record by which a server's flows are routed. */
-  serverOf(id: string): CatalogServer | undefined {
+  serverById(id: string): CatalogServer | undefined {
     return this.ownerOf(id)?.server;
   }
 
--- a/src/catalog/departed-servers.spec.ts
+++ b/src/catalog/departed-servers.spec.ts
@@ -17,83 +17,87 @@
   startTime: 0,
 };
 
-/** Confirms the list every 500 ms from `from` to `to`. */
-function confirm(departures: DepartedServers, from: number, to: number): void {
+/** Confirms the list every 500 ms between two times. */
+function confirm(
+  departedServers: DepartedServers,
+  from: number,
+  to: number,
+): void {
   const steps = Math.floor((to - from) / 500);
   Array.from({length: steps + 1}, (_step, index) =>
-    departures.confirm(from + index * 500),
+    departedServers.confirm(from + index * 500),
   );
 }
 
-test('a ready server whose entry goes may serve on for long: it is not gone yet', () => {
-  const departures = DepartedServers.create(60_000);
-  confirm(departures, 0, 10_000);
-  departures.add(SERVER, 10_000);
-  assert.deepEqual(departures.listExpired(), []);
-  confirm(departures, 10_500, 29_500);
-  assert.equal(departures.hasEnded('i-1'), false);
-  confirm(departures, 30_000, 30_000);
-  assert.equal(departures.hasEnded('i-1'), true);
+test('a ready server whose entry is removed has not ended before the unannounced shutdown time', () => {
+  const departedServers = DepartedServers.create(60_000);
+  confirm(departedServers, 0, 10_000);
+  departedServers.add(SERVER, 10_000);
+  assert.deepEqual(departedServers.listExpired(), []);
+  confirm(departedServers, 10_500, 29_500);
+  assert.equal(departedServers.hasEnded('i-1'), false);
+  confirm(departedServers, 30_000, 30_000);
+  assert.equal(departedServers.hasEnded('i-1'), true);
 });
 
-test('a drained server that steady reads miss is gone after the grace, and takes no flows before', () => {
-  const departures = DepartedServers.create(60_000);
-  confirm(departures, 0, 10_000);
-  departures.add({...SERVER, state: 'draining'}, 10_000);
-  assert.deepEqual(departures.listExpired(), []);
-  confirm(departures, 10_500, 12_500);
-  assert.equal(departures.hasEnded('i-1'), false);
-  confirm(departures, 13_000, 13_000);
-  assert.equal(departures.hasEnded('i-1'), true);
+test('a drained server that gapless reads miss has ended after the grace period and gets no new flows before', () => {
+  const departedServers = DepartedServers.create(60_000);
+  confirm(departedServers, 0, 10_000);
+  departedServers.add({...SERVER, state: 'draining'}, 10_000);
+  assert.deepEqual(departedServers.listExpired(), []);
+  confirm(departedServers, 10_500, 12_500);
+  assert.equal(departedServers.hasEnded('i-1'), false);
+  confirm(departedServers, 13_000, 13_000);
+  assert.equal(departedServers.hasEnded('i-1'), true);
 });
 
-test('an entry that is missing after an outage may have lapsed and counts from its end', () => {
-  const departures = DepartedServers.create(60_000);
-  confirm(departures, 0, 5_000);
-  departures.confirm(10_000);
-  departures.add(SERVER, 10_000);
-  assert.deepEqual(departures.listExpired(), [SERVER]);
-  confirm(departures, 10_500, 12_500);
-  assert.equal(departures.hasEnded('i-1'), false);
-  departures.confirm(12_600);
-  assert.equal(departures.hasEnded('i-1'), true);
-  assert.deepEqual(departures.listExpired(), []);
+test('an entry missing after an outage may have expired; its grace period starts after the outage', () => {
+  const departedServers = DepartedServers.create(60_000);
+  confirm(departedServers, 0, 5_000);
+  departedServers.confirm(10_000);
+  departedServers.add(SERVER, 10_000);
+  assert.deepEqual(departedServers.listExpired(), [SERVER]);
+  confirm(departedServers, 10_500, 12_500);
+  assert.equal(departedServers.hasEnded('i-1'), false);
+  departedServers.confirm(12_600);
+  assert.equal(departedServers.hasEnded('i-1'), true);
+  assert.deepEqual(departedServers.listExpired(), []);
 });
 
-test('an outage after the departure starts the count anew', () => {
-  const departures = DepartedServers.create(60_000);
-  confirm(departures, 0, 5_000);
-  departures.add({...SERVER, state: 'draining'}, 5_000);
-  confirm(departures, 5_500, 6_500);
-  departures.confirm(12_000);
-  assert.equal(departures.hasEnded('i-1'), false);
-  confirm(departures, 12_500, 15_000);
-  assert.equal(departures.hasEnded('i-1'), true);
+test('an outage after the departure restarts the grace period', () => {
+  const departedServers = DepartedServers.create(60_000);
+  confirm(departedServers, 0, 5_000);
+  departedServers.add({...SERVER, state: 'draining'}, 5_000);
+  confirm(departedServers, 5_500, 6_500);
+  departedServers.confirm(12_000);
+  assert.equal(departedServers.hasEnded('i-1'), false);
+  confirm(departedServers, 12_500, 15_000);
+  assert.equal(departedServers.hasEnded('i-1'), true);
 });
 
-test('a draining server that left takes no flows, whatever the store did', () => {
-  const departures = DepartedServers.create(60_000);
-  departures.confirm(0);
-  departures.confirm(10_000);
-  departures.add({...SERVER, state: 'draining'}, 10_000);
-  assert.deepEqual(departures.listExpired(), []);
+test('a departed draining server gets no new flows, even after an outage', () => {
+  const departedServers = DepartedServers.create(60_000);
+  departedServers.confirm(0);
+  departedServers.confirm(10_000);
+  departedServers.add({...SERVER, state: 'draining'}, 10_000);
+  assert.deepEqual(departedServers.listExpired(), []);
 });
 
-test('a later server at the address is proof that the earlier one ended', () => {
-  const departures = DepartedServers.create(60_000);
-  departures.confirm(0);
-  departures.add(SERVER, 0);
-  departures.supersedeAt(7, 81);
-  assert.equal(departures.hasEnded('i-1'), false);
-  departures.supersedeAt(7, 80);
-  assert.equal(departures.hasEnded('i-1'), true);
+test('a departed server has ended once a newer server takes its address', () => {
+  const departedServers = DepartedServers.create(60_000);
+  departedServers.confirm(0);
+  departedServers.add(SERVER, 0);
+  departedServers.supersedeAt(7, 81);
+  assert.equal(departedServers.hasEnded('i-1'), false);
+  departedServers.supersedeAt(7, 80);
+  assert.equal(departedServers.hasEnded('i-1'), true);
 });
 
-test('a departed server is forgotten once no flow can be as old', () => {
-  const departures = DepartedServers.create(60_000);
-  departures.confirm(0);
-  departures.add(SERVER, 0);
-  assert.deepEqual(departures.confirm(59_999), []);
-  assert.deepEqual(departures.confirm(60_000), ['i-1']);
-  assert.deepEqual(departures.confirm(60_001), []);
+test('a departed server is evicted after a flow lifetime', () => {
+  const departedServers = DepartedServers.create(60_000);
+  departedServers.confirm(0);
+  departedServers.add(SERVER, 0);
+  assert.deepEqual(departedServers.confirm(59_999), []);
+  assert.deepEqual(departedServers.confirm(60_000), ['i-1']);
+  assert.deepEqual(departedServers.confirm(60_001), []);
 });
--- a/src/catalog/known-servers.ts
+++ b/src/catalog/known-servers.ts
@@ -86,7 +86,7 @@
 
   /** Returns the record by which a listed or departed server's flows are routed. */
   serverById(id: string): CatalogServer | undefined {
-    return this.cookies.serverOf(id);
+    return this.cookies.serverById(id);
   }
 
   /**
--- a/src/catalog/server-lives.spec.ts
+++ b/src/catalog/server-lives.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Servers that start again under their id, and entries that cannot be read, in whatever
- * order a daemon hears of them.
+ * Servers that restart under the same id, and entries that cannot be read, with updates
+ * arriving in any order.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -17,8 +17,12 @@
 } from './records.js';
 
 const hasher = ScriptXxhashHasher.create();
-const NOBODY = {asker: 1, routeVersion: 0, serverRevision: 0, serverDigest: 0};
-/** The only route, of the only service that the versions name. */
+const EMPTY_STATE = {
+  asker: 1,
+  routeVersion: 0,
+  serverRevision: 0,
+  serverDigest: 0,
+};
 const ROUTES: RouteListing = {
   version: 1,
   routes: [
@@ -43,8 +47,8 @@
   return catalog;
 }
 
-/** A server's entry as of a revision. */
-function entryOf(
+/** Creates a server's record as of a revision. */
+function createEntry(
   id: string,
   revision: number,
   part: Partial<CatalogServer> = {},
@@ -56,17 +60,17 @@
   });
 }
 
-function listOf(
+function createListing(
   revision: number,
   servers: readonly CatalogServer[],
-  spoiled: readonly string[] = [],
+  unreadableIds: readonly string[] = [],
 ): ServerListing {
-  const unreadable = spoiled.map(id => ({id, revision, cause: 'noise'}));
+  const unreadable = unreadableIds.map(id => ({id, revision, cause: 'noise'}));
   return {revision, servers, unreadable, evacuated: []};
 }
 
-/** What the catalog tells from now on. */
-function changesOf(catalog: Catalog): CatalogChange[] {
+/** Returns a list to which the catalog's further changes are appended. */
+function collectChanges(catalog: Catalog): CatalogChange[] {
   const changes: CatalogChange[] = [];
   catalog.onChange(change => changes.push(change));
   return changes;
@@ -76,27 +80,27 @@
   return servers.map(({id}) => id).sort();
 }
 
-/** What was written to the store at each revision, from 1 on. */
-interface Written {
+/** A write to the store; the first one of a history has revision 1. */
+interface StoreWrite {
   readonly id: string;
-  readonly kind: 'ready' | 'draining' | 'spoiled' | 'removed';
+  readonly kind: 'ready' | 'draining' | 'unreadable' | 'removed';
   readonly startTime: number;
   readonly address: number;
 }
 
 const HISTORY = fc.array(
-  fc.record<Written>({
+  fc.record<StoreWrite>({
     id: fc.constantFrom('i-1', 'i-2', 'i-3'),
-    kind: fc.constantFrom('ready', 'draining', 'spoiled', 'removed'),
+    kind: fc.constantFrom('ready', 'draining', 'unreadable', 'removed'),
     startTime: fc.constantFrom(0, 70, 30),
     address: fc.integer({min: 1, max: 4}),
   }),
   {minLength: 1, maxLength: 14},
 );
 
-/** The newest thing written under each id up to a revision, with its revision. */
-function stateAt(history: readonly Written[], upTo: number) {
-  const newest = new Map<string, Written & {revision: number}>();
+/** Returns the newest write of each id up to a revision, without removed ids. */
+function stateAt(history: readonly StoreWrite[], upTo: number) {
+  const newest = new Map<string, StoreWrite & {revision: number}>();
   history
     .slice(0, upTo)
     .forEach((written, index) =>
@@ -105,47 +109,50 @@
   return [...newest.values()].filter(({kind}) => kind !== 'removed');
 }
 
-function serverOf({
+function toServer({
   id,
   kind,
   startTime,
   address,
   revision,
-}: Written & {
+}: StoreWrite & {
   revision: number;
 }): CatalogServer {
   const state = kind as ServerState;
-  return entryOf(id, revision, {state, startTime, address});
+  return createEntry(id, revision, {state, startTime, address});
 }
 
-function listingAt(history: readonly Written[], upTo: number): ServerListing {
+function listingAt(
+  history: readonly StoreWrite[],
+  upTo: number,
+): ServerListing {
   const entries = stateAt(history, upTo);
-  const spoiled = entries.filter(({kind}) => kind === 'spoiled');
+  const corrupted = entries.filter(({kind}) => kind === 'unreadable');
   return {
     revision: upTo,
-    servers: entries.filter(({kind}) => kind !== 'spoiled').map(serverOf),
-    unreadable: spoiled.map(({id, revision}) => ({id, revision, cause: 'x'})),
+    servers: entries.filter(({kind}) => kind !== 'unreadable').map(toServer),
+    unreadable: corrupted.map(({id, revision}) => ({id, revision, cause: 'x'})),
     evacuated: [],
   };
 }
 
 function feedEvents(
   catalog: Catalog,
-  history: readonly Written[],
+  history: readonly StoreWrite[],
   from: number,
   upTo: number,
 ): void {
   const events = history
     .map((written, index) => ({...written, revision: index + 1}))
     .slice(from, upTo);
-  const of = (kinds: ReadonlyArray<Written['kind']>) =>
+  const of = (kinds: ReadonlyArray<StoreWrite['kind']>) =>
     events.filter(({kind}) => kinds.includes(kind));
   catalog.takeEvents(
     {
       revision: upTo,
       routes: undefined,
-      written: of(['ready', 'draining']).map(serverOf),
-      unreadable: of(['spoiled']).map(({id, revision}) => ({
+      written: of(['ready', 'draining']).map(toServer),
+      unreadable: of(['unreadable']).map(({id, revision}) => ({
         id,
         revision,
         cause: 'x',
@@ -157,47 +164,46 @@
   );
 }
 
-const ARRIVALS = fc.array(
+const UPDATES = fc.array(
   fc.record({
-    way: fc.constantFrom('events', 'whole', 'pull', 'pull-whole'),
+    source: fc.constantFrom('events', 'whole', 'pull', 'pull-whole'),
     from: fc.nat(14),
     upTo: fc.integer({min: 1, max: 14}),
   }),
   {maxLength: 10},
 );
 
-/** Which life of each id is held, and by which revision of its entry. */
-function livesOf(catalog: Catalog): Map<string, CatalogServer> {
+function recordsById(catalog: Catalog): Map<string, CatalogServer> {
   return new Map(catalog.allServers().map(server => [server.id, server]));
 }
 
-test('in any order of arrival a former life never replaces a later one, and all lead to the same', () => {
+test('updates in any order never replace an incarnation by an older one, and converge', () => {
   fc.assert(
-    fc.property(HISTORY, ARRIVALS, (history, arrivals) => {
+    fc.property(HISTORY, UPDATES, (history, updates) => {
       const end = history.length;
       const catalog = createCatalog();
       catalog.takeServers(listingAt(history, 1), 0);
-      arrivals.forEach(({way, from, upTo}) => {
+      updates.forEach(({source, from, upTo}) => {
         const at = Math.min(upTo, end);
-        const before = livesOf(catalog);
+        const before = recordsById(catalog);
         const held = catalog.stamp;
-        if (way === 'events') {
-          // Waits begin at a revision that was held, and some answers come late.
+        if (source === 'events') {
+          // Watches start at a known revision, and some answers arrive late.
           const since = Math.min(from, at, held.serverRevision);
           feedEvents(catalog, history, since, at);
-        } else if (way === 'whole') {
+        } else if (source === 'whole') {
           catalog.takeServers(listingAt(history, at), 1);
         } else {
           const peer = createCatalog();
           peer.takeServers(listingAt(history, at), 0);
           feedEvents(peer, history, at, Math.min(end, at + 3));
           const asked = {
-            ...NOBODY,
-            serverRevision: way === 'pull' ? held.serverRevision : 0,
+            ...EMPTY_STATE,
+            serverRevision: source === 'pull' ? held.serverRevision : 0,
           };
           applyUpdate(catalog, updateFor(peer, asked, 1), 1);
         }
-        livesOf(catalog).forEach(({id, revision}) => {
+        recordsById(catalog).forEach(({id, revision}) => {
           const known = before.get(id)?.revision ?? 0;
           assert.ok(revision >= known, `${id} from ${known} to ${revision}`);
         });
@@ -234,30 +240,36 @@
   );
 });
 
-test('daemons with equal stamps hold the same life', () => {
+test('different incarnations of a server have different digests', () => {
   const [former, later] = [0, 70].map(startTime => {
     const catalog = createCatalog();
-    catalog.takeServers(listOf(5, [entryOf('i-1', 5, {startTime})]), 0);
+    catalog.takeServers(
+      createListing(5, [createEntry('i-1', 5, {startTime})]),
+      0,
+    );
     return catalog;
   });
   assert.notEqual(former.stamp.serverDigest, later.stamp.serverDigest);
 });
 
-test('a new life is told once, under an earlier time of start too, and goes along with pulls', () => {
+test('a restart is reported once, even with an earlier start time, and is included in pulls', () => {
   const holder = createCatalog();
   const puller = createCatalog();
-  const first = listOf(5, [entryOf('i-1', 5, {startTime: 90})]);
+  const first = createListing(5, [createEntry('i-1', 5, {startTime: 90})]);
   [holder, puller].forEach(catalog => catalog.takeServers(first, 0));
-  const [told, pulled] = [holder, puller].map(changesOf);
-  // The clock of its host went back meanwhile.
-  const reborn = entryOf('i-1', 8, {startTime: 40, createdRevision: 5});
+  const [reported, pulled] = [holder, puller].map(collectChanges);
+  // The clock of the server's host was set back.
+  const restartedServer = createEntry('i-1', 8, {
+    startTime: 40,
+    createdRevision: 5,
+  });
   const events = {revision: 8, routes: undefined, removed: [], domains: []};
-  holder.takeEvents({...events, written: [reborn]}, 1);
-  holder.takeEvents({...events, written: [reborn]}, 2);
+  holder.takeEvents({...events, written: [restartedServer]}, 1);
+  holder.takeEvents({...events, written: [restartedServer]}, 2);
   const {serverRevision, serverDigest} = puller.stamp;
-  const held = {...NOBODY, serverRevision, serverDigest};
+  const held = {...EMPTY_STATE, serverRevision, serverDigest};
   applyUpdate(puller, updateFor(holder, held, 1), 1);
-  [told, pulled].forEach(changes => {
+  [reported, pulled].forEach(changes => {
     const restarted = changes.flatMap(change => change.restarted);
     assert.deepEqual(
       restarted.map(({startTime}) => startTime),
@@ -267,15 +279,20 @@
   assert.equal(puller.stamp.serverDigest, holder.stamp.serverDigest);
 });
 
-test('a late answer does not list a server again whose removal is known', () => {
+test('a late answer does not list a removed server again', () => {
   const catalog = createCatalog();
   const late = createCatalog();
-  const servers = [entryOf('i-1', 1), entryOf('i-2', 2)];
-  [catalog, late].forEach(each => each.takeServers(listOf(2, servers), 0));
-  const draining = entryOf('i-1', 3, {state: 'draining', createdRevision: 1});
+  const servers = [createEntry('i-1', 1), createEntry('i-2', 2)];
+  [catalog, late].forEach(each =>
+    each.takeServers(createListing(2, servers), 0),
+  );
+  const draining = createEntry('i-1', 3, {
+    state: 'draining',
+    createdRevision: 1,
+  });
   const none = {routes: undefined, written: [], removed: [], domains: []};
   late.takeEvents({...none, revision: 3, written: [draining]}, 1);
-  const held = {...NOBODY, serverRevision: 2};
+  const held = {...EMPTY_STATE, serverRevision: 2};
   const answer = updateFor(late, held, 1);
   const removed = [{id: 'i-1', revision: 4}];
   catalog.takeEvents({...none, revision: 4, removed}, 1);
@@ -283,71 +300,71 @@
   assert.deepEqual(idsOf(catalog.allServers()), ['i-2']);
 });
 
-test('a server that starts again elsewhere leaves its address, and is not succeeded any more', () => {
+test('a server that restarts at another address is no longer superseded at the former one', () => {
   const catalog = createCatalog();
-  const former = entryOf('i-1', 1, {address: 7});
-  const next = entryOf('i-2', 2, {address: 7, service: 'docs'});
-  catalog.takeServers(listOf(2, [former, next]), 0);
+  const former = createEntry('i-1', 1, {address: 7});
+  const next = createEntry('i-2', 2, {address: 7, service: 'docs'});
+  catalog.takeServers(createListing(2, [former, next]), 0);
   assert.equal(catalog.hasEnded(former), true);
   const elsewhere = {address: 8, startTime: 70, createdRevision: 1};
-  const reborn = entryOf('i-1', 3, elsewhere);
-  catalog.takeServers(listOf(3, [reborn, next]), 1);
-  assert.equal(catalog.hasEnded(reborn), false);
+  const restartedServer = createEntry('i-1', 3, elsewhere);
+  catalog.takeServers(createListing(3, [restartedServer, next]), 1);
+  assert.equal(catalog.hasEnded(restartedServer), false);
   assert.equal(catalog.hasEnded(next), false);
   assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-1']);
   assert.equal(catalog.serverById('i-1')?.address, 8);
-  // Whoever comes to the address that it left ends nobody else.
-  const third = entryOf('i-3', 4, {address: 7});
-  catalog.takeServers(listOf(4, [reborn, next, third]), 2);
+  // A third server at the former address supersedes only the second one.
+  const third = createEntry('i-3', 4, {address: 7});
+  catalog.takeServers(createListing(4, [restartedServer, next, third]), 2);
   assert.equal(catalog.hasEnded(next), true);
-  assert.equal(catalog.hasEnded(reborn), false);
+  assert.equal(catalog.hasEnded(restartedServer), false);
 });
 
-test('a server that starts again at the address of a later one has ended that one', () => {
-  const first = entryOf('i-1', 1, {address: 7});
-  const second = entryOf('i-2', 5, {address: 8});
+test('a server that restarts at the address of a newer server supersedes it', () => {
+  const first = createEntry('i-1', 1, {address: 7});
+  const second = createEntry('i-2', 5, {address: 8});
   const back = {address: 8, startTime: 70, createdRevision: 1};
-  const reborn = entryOf('i-1', 9, back);
+  const restartedServer = createEntry('i-1', 9, back);
   const seenBoth = createCatalog();
-  seenBoth.takeServers(listOf(5, [first, second]), 0);
+  seenBoth.takeServers(createListing(5, [first, second]), 0);
   const started = createCatalog();
   [seenBoth, started].forEach(catalog => {
-    catalog.takeServers(listOf(9, [reborn, second]), 1);
+    catalog.takeServers(createListing(9, [restartedServer, second]), 1);
     assert.equal(catalog.hasEnded(second), true);
-    assert.equal(catalog.hasEnded(reborn), false);
+    assert.equal(catalog.hasEnded(restartedServer), false);
   });
 });
 
-test('cookies of a server that starts again elsewhere lead to where it is', () => {
+test('cookies of a server that restarts at another address lead to the new address', () => {
   const catalog = createCatalog();
-  const former = entryOf('i-1', 1, {address: 7});
-  catalog.takeServers(listOf(1, [former]), 0);
+  const former = createEntry('i-1', 1, {address: 7});
+  catalog.takeServers(createListing(1, [former]), 0);
   const [route] = catalog.allRoutes();
   const cookie = catalog.cookieOf(former, route) ?? 0;
-  const reborn = entryOf('i-1', 3, {address: 8, startTime: 70});
-  catalog.takeServers(listOf(3, [reborn]), 1);
+  const restartedServer = createEntry('i-1', 3, {address: 8, startTime: 70});
+  catalog.takeServers(createListing(3, [restartedServer]), 1);
   assert.equal(catalog.serverOf(cookie, route)?.address, 8);
-  // Also when its entry had gone in between.
-  catalog.takeServers(listOf(4, []), 2);
-  const changes = changesOf(catalog);
-  const third = entryOf('i-1', 5, {address: 9, startTime: 90});
-  catalog.takeServers(listOf(5, [third]), 3);
+  // Also when its entry was removed in between.
+  catalog.takeServers(createListing(4, []), 2);
+  const changes = collectChanges(catalog);
+  const third = createEntry('i-1', 5, {address: 9, startTime: 90});
+  catalog.takeServers(createListing(5, [third]), 3);
   assert.equal(catalog.serverOf(cookie, route)?.address, 9);
   assert.deepEqual(idsOf(changes.flatMap(change => change.restarted)), ['i-1']);
 });
 
-test('a server whose entry cannot be read keeps its flows and gets no new ones, until it can', () => {
+test('a server with an unreadable entry keeps its flows and gets no new ones until it is readable again', () => {
   const catalog = createCatalog();
-  const server = entryOf('i-1', 1);
-  catalog.takeServers(listOf(1, [server, entryOf('i-2', 1)]), 0);
+  const server = createEntry('i-1', 1);
+  catalog.takeServers(createListing(1, [server, createEntry('i-2', 1)]), 0);
   const [route] = catalog.allRoutes();
   const cookie = catalog.cookieOf(server, route) ?? 0;
-  const changes = changesOf(catalog);
-  catalog.takeServers(listOf(2, [entryOf('i-2', 1)], ['i-1']), 500);
-  // A whole read without a record of it, for longer than servers serve on unlisted.
+  const changes = collectChanges(catalog);
+  catalog.takeServers(createListing(2, [createEntry('i-2', 1)], ['i-1']), 500);
+  // Whole reads without its record, for longer than the unannounced shutdown time.
   Array.from({length: 60}, (_read, index) =>
     catalog.takeServers(
-      listOf(2, [entryOf('i-2', 1)], ['i-1']),
+      createListing(2, [createEntry('i-2', 1)], ['i-1']),
       1_000 + index * 500,
     ),
   );
@@ -356,18 +373,18 @@
   assert.equal(catalog.hasEnded(server), false);
   assert.equal(changes.flatMap(({unreadable}) => unreadable).length, 1);
   assert.equal(changes.flatMap(({departed}) => departed).length, 0);
-  const again = entryOf('i-1', 3, {createdRevision: 1});
-  catalog.takeServers(listOf(3, [again, entryOf('i-2', 1)]), 40_000);
+  const again = createEntry('i-1', 3, {createdRevision: 1});
+  catalog.takeServers(createListing(3, [again, createEntry('i-2', 1)]), 40_000);
   assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-1', 'i-2']);
   assert.equal(changes.flatMap(({restarted}) => restarted).length, 0);
 });
 
-test('a server that may have lapsed and comes back unreadable is not taken for gone', () => {
+test('an expired server whose entry reappears unreadable does not count as ended', () => {
   const catalog = createCatalog();
-  const server = entryOf('i-1', 1);
-  catalog.takeServers(listOf(1, [server]), 0);
-  catalog.takeServers(listOf(2, []), 500);
-  catalog.takeServers(listOf(3, [], ['i-1']), 1_000);
+  const server = createEntry('i-1', 1);
+  catalog.takeServers(createListing(1, [server]), 0);
+  catalog.takeServers(createListing(2, []), 500);
+  catalog.takeServers(createListing(3, [], ['i-1']), 1_000);
   Array.from({length: 60}, (_read, index) =>
     catalog.confirmAll(1_500 + index * 500),
   );
@@ -375,91 +392,94 @@
   assert.equal(catalog.isListed('i-1'), true);
 });
 
-test('a daemon that never read an entry knows its cookie, and a peer tells what it was', () => {
+test('a daemon knows the cookie of an entry it never could read and gets its record from a peer', () => {
   const holder = createCatalog();
-  const server = entryOf('i-1', 1);
-  holder.takeServers(listOf(1, [server]), 0);
-  holder.takeServers(listOf(2, [], ['i-1']), 1);
+  const server = createEntry('i-1', 1);
+  holder.takeServers(createListing(1, [server]), 0);
+  holder.takeServers(createListing(2, [], ['i-1']), 1);
   const [route] = holder.allRoutes();
   const cookie = holder.cookieOf(server, route) ?? 0;
   const started = createCatalog();
-  started.takeServers(listOf(2, [], ['i-1']), 0);
+  started.takeServers(createListing(2, [], ['i-1']), 0);
   const [same] = started.allRoutes();
   assert.equal(started.serverOf(cookie, same), undefined);
   assert.equal(started.hasCookie(cookie, same), true);
   assert.equal(started.stamp.serverDigest, holder.stamp.serverDigest);
   assert.notEqual(started.unreadableDigest, holder.unreadableDigest);
-  applyUpdate(started, updateFor(holder, NOBODY, 1), 1);
+  applyUpdate(started, updateFor(holder, EMPTY_STATE, 1), 1);
   assert.equal(started.serverOf(cookie, same)?.address, server.address);
   assert.deepEqual(started.openServers('pay'), []);
   assert.equal(started.unreadableDigest, holder.unreadableDigest);
 });
 
-test("the cookie of an entry that was never read is known for a flow's life after it went", () => {
+test('the cookie of an entry that was never readable is kept for a flow lifetime after its removal', () => {
   const catalog = createCatalog();
-  catalog.takeServers(listOf(1, [], ['i-1']), 0);
+  catalog.takeServers(createListing(1, [], ['i-1']), 0);
   const [route] = catalog.allRoutes();
   const other = createCatalog();
-  other.takeServers(listOf(1, [entryOf('i-1', 1)]), 0);
-  const cookie = other.cookieOf(entryOf('i-1', 1), route) ?? 0;
-  catalog.takeServers(listOf(2, []), 1_000);
+  other.takeServers(createListing(1, [createEntry('i-1', 1)]), 0);
+  const cookie = other.cookieOf(createEntry('i-1', 1), route) ?? 0;
+  catalog.takeServers(createListing(2, []), 1_000);
   catalog.confirmAll(60_000);
   assert.equal(catalog.hasCookie(cookie, route), true);
   catalog.confirmAll(61_001);
   assert.equal(catalog.hasCookie(cookie, route), false);
 });
 
-test('an entry of a service that no version names ends nobody, and moves no flow', () => {
+test('an entry of an undeclared service neither supersedes a server nor redirects flows', () => {
   const catalog = createCatalog();
-  const server = entryOf('i-1', 1, {address: 7});
-  catalog.takeServers(listOf(1, [server]), 0);
+  const server = createEntry('i-1', 1, {address: 7});
+  catalog.takeServers(createListing(1, [server]), 0);
   const [route] = catalog.allRoutes();
   const cookie = catalog.cookieOf(server, route) ?? 0;
-  const stranger = entryOf('i-9', 2, {address: 7, service: 'nobody'});
-  catalog.takeServers(listOf(2, [server, stranger]), 1);
+  const undeclared = createEntry('i-9', 2, {address: 7, service: 'nobody'});
+  catalog.takeServers(createListing(2, [server, undeclared]), 1);
   assert.equal(catalog.hasEnded(server), false);
-  const spoiled = entryOf('i-1', 3, {address: 8, service: 'nobody'});
-  catalog.takeServers(listOf(3, [spoiled, stranger]), 2);
+  const corrupted = createEntry('i-1', 3, {address: 8, service: 'nobody'});
+  catalog.takeServers(createListing(3, [corrupted, undeclared]), 2);
   assert.equal(catalog.serverOf(cookie, route)?.address, 7);
   assert.deepEqual(catalog.openServers('pay'), []);
-  // A later version names the service: the stranger has its address after all.
+  // Once a later version declares the service, its entries take effect.
   const services = ['pay', 'nobody'];
   catalog.takeRoutes({...ROUTES, version: 2, services}, 3);
   assert.equal(catalog.serverById('i-1')?.address, 8);
 });
 
-test('no end is told of a server that is back by the change that comes after its grace', () => {
+test('a server listed again by the change that ends its grace period is not reported as ended', () => {
   const catalog = createCatalog();
-  const drained = entryOf('i-1', 1, {state: 'draining'});
-  catalog.takeServers(listOf(1, [drained]), 0);
-  catalog.takeServers(listOf(2, []), 100);
+  const drained = createEntry('i-1', 1, {state: 'draining'});
+  catalog.takeServers(createListing(1, [drained]), 0);
+  catalog.takeServers(createListing(2, []), 100);
   Array.from({length: 5}, (_read, index) =>
     catalog.confirmAll(600 + index * 500),
   );
-  const changes = changesOf(catalog);
-  const reborn = entryOf('i-1', 3, {startTime: 70});
-  catalog.takeServers(listOf(3, [reborn]), 3_000);
+  const changes = collectChanges(catalog);
+  const restartedServer = createEntry('i-1', 3, {startTime: 70});
+  catalog.takeServers(createListing(3, [restartedServer]), 3_000);
   assert.deepEqual(
     changes.flatMap(({ended}) => ended),
     [],
   );
-  assert.equal(catalog.hasEnded(reborn), false);
+  assert.equal(catalog.hasEnded(restartedServer), false);
 });
 
-test('ends are told once they are certain: by a later server, and by time', () => {
+test('ended servers are reported when superseded and after their grace period', () => {
   const catalog = createCatalog();
-  const [first, second] = [entryOf('i-1', 1), entryOf('i-2', 1)];
-  catalog.takeServers(listOf(1, [first, second]), 0);
-  const changes = changesOf(catalog);
-  const endedOf = () => idsOf(changes.flatMap(({ended}) => ended));
-  const next = entryOf('i-3', 2, {address: first.address});
-  catalog.takeServers(listOf(2, [first, second, next]), 100);
-  assert.deepEqual(endedOf(), ['i-1']);
-  const drained = entryOf('i-2', 3, {state: 'draining', createdRevision: 1});
-  catalog.takeServers(listOf(3, [drained, next]), 200);
-  catalog.takeServers(listOf(4, [next]), 300);
+  const [first, second] = [createEntry('i-1', 1), createEntry('i-2', 1)];
+  catalog.takeServers(createListing(1, [first, second]), 0);
+  const changes = collectChanges(catalog);
+  const endedIds = () => idsOf(changes.flatMap(({ended}) => ended));
+  const next = createEntry('i-3', 2, {address: first.address});
+  catalog.takeServers(createListing(2, [first, second, next]), 100);
+  assert.deepEqual(endedIds(), ['i-1']);
+  const drained = createEntry('i-2', 3, {
+    state: 'draining',
+    createdRevision: 1,
+  });
+  catalog.takeServers(createListing(3, [drained, next]), 200);
+  catalog.takeServers(createListing(4, [next]), 300);
   Array.from({length: 6}, (_read, index) =>
     catalog.confirmAll(800 + index * 500),
   );
-  assert.deepEqual(endedOf().slice(-1), ['i-2']);
+  assert.deepEqual(endedIds().slice(-1), ['i-2']);
 });
