--- a/src/routing/lookup-table.spec.ts
+++ b/src/routing/lookup-table.spec.ts
@@ -25,7 +25,7 @@
   return counts;
 }
 
-test('entries are even among equal servers', () => {
+test('servers of equal weight get equally many entries, give or take one', () => {
   [3, 10, 100].forEach(count => {
     const entries = entryCountFor(count);
     const table = createMaglevTable(servers(count), entries, hasher);
@@ -34,7 +34,7 @@
   });
 });
 
-test('entries follow the weights', () => {
+test('the share of entries follows the weights', () => {
   const weighted = servers(4).map((server, index) => ({
     ...server,
     weight: index === 0 ? 3 : 1,
@@ -43,7 +43,7 @@
   assert.ok(Math.abs(counts[0] - 3 * counts[1]) <= 4);
 });
 
-test('the table does not depend on the order of the servers', () => {
+test('the order of the servers does not change the table', () => {
   fc.assert(
     fc.property(fc.shuffledSubarray(servers(12), {minLength: 1}), chosen => {
       const sorted = [...chosen].sort((a, b) => (a.id < b.id ? -1 : 1));
@@ -58,7 +58,7 @@
   );
 });
 
-test('removing one of ten servers moves few of the other entries', () => {
+test('removing one of ten servers reassigns few entries of the others', () => {
   const all = servers(10);
   const before = createMaglevTable(all, 1_021, hasher);
   const after = createMaglevTable(all.slice(0, 9), 1_021, hasher);
--- a/src/routing/lookup-table.ts
+++ b/src/routing/lookup-table.ts
@@ -1,62 +1,63 @@
 /**
- * Lookup tables from table entry to server, computed alike by every daemon.
- *
- * Two ways are kept so that they can be measured side by side; docs/design
- * tables.md has the figures. Daemons use `createMaglevTable`.
+ * Consistent-hashing tables from entry to server, the same at every daemon.
+ * Daemons use Maglev tables; rendezvous hashing is a baseline for comparisons.
  */
 import type {Hasher} from '../ports/hasher.js';
 
-/** A server as a table sees it. */
+/** A server and its share of a table. */
 export interface WeightedServer {
   readonly id: string;
   /** Relative share of entries; greater than 0. */
   readonly weight: number;
 }
 
-/** For each entry the position of its server in the list given. */
+/** For each entry, the index of its server in the list given to the builder. */
 export type LookupTable = Uint16Array;
 
-/** Smallest table size in use. */
+/** Smallest table size, in entries. */
 export const MINIMUM_ENTRIES = 1_021;
 
-/** Entries a server at the least, so that rounding stays near 1%. */
-const ENTRIES_PER_SERVER = 97;
+/** Keeps the rounding error of a server's share near 1%. */
+const MINIMUM_ENTRIES_PER_SERVER = 97;
 
-/** Prime sizes; a Maglev permutation needs a prime. */
+/** Table sizes: primes, so that every skip of a permutation visits all entries. */
 const PRIMES = [
   1_021, 2_039, 4_093, 8_191, 16_381, 32_749, 65_521, 131_071, 262_139, 524_287,
   1_048_573, 2_097_143, 4_194_301,
 ] as const;
 
-const NO_SERVER = 0xffff;
+/** Value of an entry without a server. */
+const UNASSIGNED = 0xffff;
 const OFFSET_SEED = 11;
 const SKIP_SEED = 13;
 
-/** The table size for a number of servers: a prime, at least 1,021. */
+/** Returns the table size for a number of servers: a prime, at least 1,021. */
 export function entryCountFor(servers: number): number {
-  const wanted = servers * ENTRIES_PER_SERVER;
-  return PRIMES.find(prime => prime >= wanted) ?? PRIMES[PRIMES.length - 1];
+  const minimum = servers * MINIMUM_ENTRIES_PER_SERVER;
+  return PRIMES.find(prime => prime >= minimum) ?? PRIMES[PRIMES.length - 1];
 }
 
-/** One server's walk through the table. */
+/** The order in which one server prefers entries, and its position in it. */
 interface Permutation {
+  /** Next entry to try. */
   position: number;
   readonly skip: number;
+  /** Share of the highest weight, greater than 0 and at most 1. */
   readonly weight: number;
-  /** Entries the server may take so far, by its weight. */
+  /** Grows by `weight` each round; an entry costs 1. */
   credit: number;
 }
 
 /**
- * Builds a Maglev table (Eisenbud et al., NSDI 2016) of `entries` entries.
- * The order of `servers` has no effect on which server gets which entry.
+ * Builds a Maglev table (Eisenbud et al., NSDI 2016) of `entries` entries, which
+ * has to be a prime. The order of `servers` has no effect on their entries.
  */
 export function createMaglevTable(
   servers: readonly WeightedServer[],
   entries: number,
   hasher: Hasher,
 ): LookupTable {
-  const table = new Uint16Array(entries).fill(NO_SERVER);
+  const table = new Uint16Array(entries).fill(UNASSIGNED);
   if (servers.length === 0) {
     return table;
   }
@@ -64,7 +65,7 @@
   const order = servers
     .map((server, index) => ({id: server.id, index}))
     .sort((a, b) => (a.id < b.id ? -1 : 1));
-  const walks: Permutation[] = servers.map(server => ({
+  const permutations: Permutation[] = servers.map(server => ({
     position: hasher.hashText(server.id, OFFSET_SEED) % entries,
     skip: (hasher.hashText(server.id, SKIP_SEED) % (entries - 1)) + 1,
     weight: server.weight / highest,
@@ -73,45 +74,46 @@
   fillTable(
     table,
     order.map(({index}) => index),
-    walks,
+    permutations,
   );
   return table;
 }
 
-/** Lets the servers take free entries in turn until none is free. */
+/** Lets the servers claim entries in turn until all are assigned. */
 function fillTable(
   table: LookupTable,
   order: readonly number[],
-  walks: readonly Permutation[],
+  permutations: readonly Permutation[],
 ): void {
   let free = table.length;
   while (free > 0) {
     order.forEach(index => {
-      const walk = walks[index];
-      walk.credit += walk.weight;
-      if (walk.credit < 1 || free === 0) {
+      const permutation = permutations[index];
+      permutation.credit += permutation.weight;
+      if (permutation.credit < 1 || free === 0) {
         return;
       }
-      walk.credit -= 1;
-      takeNextFree(table, walk, index);
+      permutation.credit -= 1;
+      claimNextFree(table, permutation, index);
       free -= 1;
     });
   }
 }
 
-/** Gives the next free entry on the walk to the server. */
-function takeNextFree(
+/** Assigns the next free entry of the permutation to its server. */
+function claimNextFree(
   table: LookupTable,
-  walk: Permutation,
+  permutation: Permutation,
   index: number,
 ): void {
-  while (table[walk.position] !== NO_SERVER) {
-    walk.position = (walk.position + walk.skip) % table.length;
+  while (table[permutation.position] !== UNASSIGNED) {
+    permutation.position =
+      (permutation.position + permutation.skip) % table.length;
   }
-  table[walk.position] = index;
+  table[permutation.position] = index;
 }
 
-/** Builds a table by weighted rendezvous: each entry takes its best server. */
+/** Builds a table by weighted rendezvous hashing of each entry. */
 export function createRendezvousTable(
   servers: readonly WeightedServer[],
   entries: number,
@@ -122,12 +124,14 @@
   const entryView = new DataView(entryBytes.buffer);
   return Uint16Array.from({length: entries}, (_, entry) => {
     entryView.setUint32(0, entry);
-    return bestOf(servers, index => hasher.hashBytes(entryBytes, seeds[index]));
+    return findHighestScore(servers, index =>
+      hasher.hashBytes(entryBytes, seeds[index]),
+    );
   });
 }
 
-/** Position of the server with the highest weighted score. */
-function bestOf(
+/** Returns the index of the server with the highest weighted score. */
+function findHighestScore(
   servers: readonly WeightedServer[],
   hash: (index: number) => number,
 ): number {
@@ -137,6 +141,6 @@
       const score = -server.weight / Math.log(uniform);
       return score > best.score ? {index, score} : best;
     },
-    {index: NO_SERVER, score: -1},
+    {index: UNASSIGNED, score: -1},
   ).index;
 }
--- a/src/routing/newest-table-router.ts
+++ b/src/routing/newest-table-router.ts
@@ -1,6 +1,6 @@
 /**
- * The naive router, kept to be measured against: the newest table over the
- * servers that are live now, and no memory of flows.
+ * A stateless router, the baseline for comparisons. It uses one lookup table over
+ * the servers that are eligible now and keeps no flow state.
  */
 import type {PacketHeader} from '../generated/packet.js';
 import type {Hasher} from '../ports/hasher.js';
@@ -18,6 +18,7 @@
 } from './routed-address.js';
 import type {ServerMarks} from './server-marks.js';
 
+/** The eligible servers of one address and their lookup table. */
 interface NewestTable {
   readonly servers: readonly RoutedServer[];
   readonly lookup: LookupTable;
@@ -32,12 +33,12 @@
     this.keys = FlowKeys.create(hasher);
   }
 
-  /** Creates a router that knows no address. */
+  /** Creates a router without addresses. */
   static create(hasher: Hasher): NewestTableRouter {
     return new NewestTableRouter(hasher);
   }
 
-  /** Takes a revision and marks at once. */
+  /** Applies a revision and marks immediately. */
   stage(revision: RoutingRevision, marks: ServerMarks): void {
     this.tables = new Map(
       revision.addresses.map(routed => {
@@ -52,7 +53,7 @@
     );
   }
 
-  /** Decides what is done with a packet. */
+  /** Returns the decision for a packet. */
   route(packet: PacketHeader): Decision {
     const table = this.tables.get(
       destinationKey(packet.destinationAddress, packet.destinationPort),
--- a/src/routing/ownership.ts
+++ b/src/routing/ownership.ts
@@ -1,8 +1,7 @@
 /**
- * Which daemon owns each partition of the flow keys, and which backs it up.
- *
- * Every daemon computes it from its own view of the members, so two daemons
- * agree as far as their views do.
+ * Assigns each partition of the flow keys an owner and a backup daemon by
+ * rendezvous hashing. Each daemon computes it from its own membership view, so
+ * daemons with different views may disagree.
  */
 import type {Hasher} from '../ports/hasher.js';
 import {PARTITION_COUNT} from './flow-key.js';
@@ -13,10 +12,10 @@
   readonly failureDomain: string;
 }
 
-/** The daemons that hold a partition's state. */
+/** The ids of the daemons that store a partition's state. */
 export interface PartitionHolders {
   readonly owner: string;
-  /** Undefined when there is one member only. */
+  /** Undefined when there is only one member. */
   readonly backup: string | undefined;
 }
 
@@ -24,7 +23,7 @@
 export class Ownership {
   private constructor(private readonly holders: readonly PartitionHolders[]) {}
 
-  /** Computes the ownership among members; none means no owners. */
+  /** Computes the ownership among members; without members there are no owners. */
   static create(members: readonly OwnerCandidate[], hasher: Hasher): Ownership {
     const partitions = members.length === 0 ? 0 : PARTITION_COUNT;
     const scored = members.map(member => ({
@@ -33,22 +32,22 @@
     }));
     return new Ownership(
       Array.from({length: partitions}, (_, partition) =>
-        holdersOf(partition, scored),
+        selectHolders(partition, scored),
       ),
     );
   }
 
-  /** The owner of a partition. */
+  /** Returns the owner of a partition; undefined without members. */
   ownerOf(partition: number): string | undefined {
     return this.holders[partition]?.owner;
   }
 
-  /** The backup of a partition. */
+  /** Returns the backup of a partition; undefined with fewer than two members. */
   backupOf(partition: number): string | undefined {
     return this.holders[partition]?.backup;
   }
 
-  /** Owner and backup, the owner first. */
+  /** Returns the owner and then the backup of a partition, as far as there are any. */
   holdersOf(partition: number): string[] {
     const holders = this.holders[partition];
     return holders === undefined
@@ -56,7 +55,7 @@
       : [holders.owner, holders.backup].filter(id => id !== undefined);
   }
 
-  /** Partitions that a member owns or backs up. */
+  /** Returns the partitions that a member owns or backs up. */
   partitionsHeldBy(member: string): number[] {
     return this.holders.flatMap((holders, partition) =>
       holders.owner === member || holders.backup === member ? [partition] : [],
@@ -64,61 +63,66 @@
   }
 }
 
-/** A member with its score for each partition. */
+/** A member with its score for each partition, by partition number. */
 interface ScoredMember {
   readonly member: OwnerCandidate;
   readonly scores: Uint32Array;
 }
 
-/** Scores by member id; a member's scores never change. */
-const knownScores = new WeakMap<Hasher, Map<string, Uint32Array>>();
-/** Members whose scores are kept; ids of replaced daemons pile up. */
-const MAXIMUM_KNOWN = 10_000;
+/** Scores by member id, which depend on nothing else. */
+const scoreCache = new WeakMap<Hasher, Map<string, Uint32Array>>();
+/** Limits the cache, which would otherwise grow with each replaced daemon. */
+const MAXIMUM_CACHED_MEMBERS = 10_000;
 
 /**
- * The backup is the best member of another failure domain than the owner's.
- * It need not be the next owner: state is moved when the owner changes.
+ * Selects the owner, and as backup the highest-scored member of another failure
+ * domain, or of the owner's if there is no other. The backup is not always the
+ * next owner: state is transferred when the owner changes.
  */
-function holdersOf(
+function selectHolders(
   partition: number,
   members: readonly ScoredMember[],
 ): PartitionHolders {
-  const owner = bestOf(partition, members);
+  const owner = findHighestScore(partition, members);
   const domain = owner?.member.failureDomain;
   const elsewhere = members.filter(
     ({member}) => member.failureDomain !== domain,
   );
   const others = members.filter(scored => scored !== owner);
-  const backup = bestOf(partition, elsewhere) ?? bestOf(partition, others);
+  const backup =
+    findHighestScore(partition, elsewhere) ??
+    findHighestScore(partition, others);
   return {owner: owner?.member.id ?? '', backup: backup?.member.id};
 }
 
-/** The member with the highest score; of equals the one with the lower id. */
-function bestOf(
+/** Returns the member with the highest score; ties go to the lower id. */
+function findHighestScore(
   partition: number,
   members: readonly ScoredMember[],
 ): ScoredMember | undefined {
   return members.reduce<ScoredMember | undefined>((best, next) => {
-    const lead =
+    const difference =
       best === undefined ? 1 : next.scores[partition] - best.scores[partition];
-    const wins =
-      lead > 0 ||
-      (lead === 0 && best !== undefined && next.member.id < best.member.id);
-    return wins ? next : best;
+    const isHigher =
+      difference > 0 ||
+      (difference === 0 &&
+        best !== undefined &&
+        next.member.id < best.member.id);
+    return isHigher ? next : best;
   }, undefined);
 }
 
 function scoresOf(id: string, hasher: Hasher): Uint32Array {
-  const known = knownScores.get(hasher) ?? new Map<string, Uint32Array>();
-  knownScores.set(hasher, known);
+  const cache = scoreCache.get(hasher) ?? new Map<string, Uint32Array>();
+  scoreCache.set(hasher, cache);
   const scores =
-    known.get(id) ??
+    cache.get(id) ??
     Uint32Array.from({length: PARTITION_COUNT}, (_, partition) =>
       hasher.hashText(id, partition),
     );
-  if (known.size >= MAXIMUM_KNOWN) {
-    known.clear();
+  if (cache.size >= MAXIMUM_CACHED_MEMBERS) {
+    cache.clear();
   }
-  known.set(id, scores);
+  cache.set(id, scores);
   return scores;
 }
--- a/src/routing/placement.ts
+++ b/src/routing/placement.ts
@@ -1,61 +1,64 @@
-/** Choice of a server for a new flow of a tracked key. */
+/** Policies that choose a server for a new flow by the load of the candidates. */
 
 /** A server that may take a new flow. */
 export interface Candidate {
   /** Directory number. */
   readonly server: number;
-  /** Relative share at this moment; a cold server's grows. */
+  /** Relative share of flows at this moment; grows during slow start. */
   readonly weight: number;
   /** Estimated open flows, over all daemons. */
   readonly flows: number;
-  /** Open flows by this daemon's own counts alone. */
+  /** Open flows by this daemon's counts alone. */
   readonly ownFlows: number;
 }
 
-/** Flows above the lightest server at which the table's choice still stands. */
+/** Flows by which the preferred server may exceed the least loaded one. */
 const SLACK_FLOWS = 1;
+/** Share of the least loaded server's flows by which it may also exceed them. */
 const SLACK_SHARE = 0.002;
 
-/** A way to choose among servers. */
+/** A policy that chooses among servers. */
 export abstract class Placement {
-  /** Whether `flows` of candidates has to count the work that peers told of. */
+  /** Whether `flows` of candidates has to include the load that peers gossip. */
   readonly usesPeerLoad: boolean = true;
 
   /**
-   * Chooses a server. `preferred` is the table's choice, which costs no state
-   * and no message; it may be missing from the candidates. There is at least
-   * one candidate.
+   * Returns the directory number of a server. `preferred` is the server where
+   * the flow needs no exception, and may be missing from the candidates. There
+   * has to be at least one candidate.
    */
   abstract choose(candidates: readonly Candidate[], preferred: number): number;
 }
 
-/** Takes the table's choice unless it is above the lightest by more than the slack. */
+/** Chooses the least loaded server, or the preferred one if it is within the slack. */
 export class LeastLoadedPlacement extends Placement {
   private constructor() {
     super();
   }
 
-  /** Creates the placement that daemons use. */
+  /** Creates the placement. */
   static create(): LeastLoadedPlacement {
     return new LeastLoadedPlacement();
   }
 
   choose(candidates: readonly Candidate[], preferred: number): number {
-    const lightest = candidates.reduce((best, candidate) =>
-      fillAfter(candidate) < fillAfter(best) ? candidate : best,
+    const leastLoaded = candidates.reduce((best, candidate) =>
+      loadAfter(candidate) < loadAfter(best) ? candidate : best,
+    );
+    const preferredCandidate = candidates.find(
+      candidate => candidate.server === preferred,
     );
-    const own = candidates.find(candidate => candidate.server === preferred);
-    return own !== undefined && withinSlack(own, lightest)
+    return preferredCandidate !== undefined &&
+      isWithinSlack(preferredCandidate, leastLoaded)
       ? preferred
-      : lightest.server;
+      : leastLoaded.server;
   }
 }
 
 /**
- * Takes the server with the least work of this daemon's own, by weight; chance
- * decides among equals. Counts that peers told are not used: they are half a
- * second old, and daemons that all see the same old counts choose the same server
- * (experiment "placing": p99 112 ms by own counts, 384 ms by all, in a burst).
+ * Chooses the server with the least load from this daemon, by weight; ties go to
+ * the first candidate from `preferred` on. Peers' counts are not used: in a burst
+ * they are outdated, and daemons that see the same ones choose the same server.
  */
 export class LocalLoadPlacement extends Placement {
   override readonly usesPeerLoad = false;
@@ -70,26 +73,26 @@
   }
 
   choose(candidates: readonly Candidate[], preferred: number): number {
-    const place = candidates.findIndex(({server}) => server === preferred);
-    const start = Math.max(0, place);
-    const turned = [...candidates.slice(start), ...candidates.slice(0, start)];
-    return turned.reduce((best, next) =>
-      ownFillAfter(next) < ownFillAfter(best) ? next : best,
+    const index = candidates.findIndex(({server}) => server === preferred);
+    const start = Math.max(0, index);
+    const rotated = [...candidates.slice(start), ...candidates.slice(0, start)];
+    return rotated.reduce((best, next) =>
+      localLoadAfter(next) < localLoadAfter(best) ? next : best,
     ).server;
   }
 }
 
-/** Own flows a unit of weight once one more flow is placed. */
-function ownFillAfter(candidate: Candidate): number {
+/** Returns this daemon's flows per unit of weight with one more flow placed. */
+function localLoadAfter(candidate: Candidate): number {
   return (candidate.ownFlows + 1) / candidate.weight;
 }
 
-/** Flows a unit of weight once one more flow is placed. */
-function fillAfter(candidate: Candidate): number {
+/** Returns the flows per unit of weight with one more flow placed. */
+function loadAfter(candidate: Candidate): number {
   return (candidate.flows + 1) / candidate.weight;
 }
 
-function withinSlack(own: Candidate, lightest: Candidate): boolean {
-  const slack = SLACK_FLOWS + lightest.flows * SLACK_SHARE;
-  return fillAfter(own) <= fillAfter(lightest) + slack / own.weight;
+function isWithinSlack(choice: Candidate, leastLoaded: Candidate): boolean {
+  const slack = SLACK_FLOWS + leastLoaded.flows * SLACK_SHARE;
+  return loadAfter(choice) <= loadAfter(leastLoaded) + slack / choice.weight;
 }
--- a/src/routing/server-directory.ts
+++ b/src/routing/server-directory.ts
@@ -1,6 +1,6 @@
-/** Small numbers for server ids, so that flow state stays small. */
+/** Maps server ids to small numbers, which keeps flow-table entries small. */
 
-/** Numbers server ids in the order in which they are first seen. */
+/** Numbers server ids from 0 in the order in which they are first seen. */
 export class ServerDirectory {
   private readonly numbers = new Map<string, number>();
   private readonly ids: string[] = [];
@@ -12,7 +12,7 @@
     return new ServerDirectory();
   }
 
-  /** The number of an id; a new id gets the next number. */
+  /** Returns the number of an id; a new id gets the next number. */
   numberOf(id: string): number {
     const known = this.numbers.get(id);
     if (known !== undefined) {
@@ -23,7 +23,7 @@
     return this.ids.length - 1;
   }
 
-  /** The id of a number given out before. */
+  /** Returns the id of a number that `numberOf` returned. */
   idOf(number: number): string {
     return this.ids[number];
   }
--- a/src/routing/server-hashes.ts
+++ b/src/routing/server-hashes.ts
@@ -1,21 +1,21 @@
-/** Servers' ids as 32-bit numbers: ids are long, and daemons send each other many. */
+/** Hashes server ids to 32 bits, which keeps messages between daemons small. */
 import type {Hasher} from '../ports/hasher.js';
 
-/** The same at every daemon, since numbers travel between them. */
+/** Has to be the same at every daemon, since hashes are sent between them. */
 const SERVER_SEED = 17;
 
-/** Hashes of the ids that one daemon uses, each computed once. */
+/** Computes and caches the hashes of server ids. */
 export class ServerHashes {
   private readonly hashes = new Map<string, number>();
 
   private constructor(private readonly hasher: Hasher) {}
 
-  /** Creates an empty memory. */
+  /** Creates an empty cache. */
   static create(hasher: Hasher): ServerHashes {
     return new ServerHashes(hasher);
   }
 
-  /** The number of a server. */
+  /** Returns the 32-bit hash of a server id. */
   of(server: string): number {
     const known = this.hashes.get(server);
     if (known !== undefined) {
@@ -26,10 +26,10 @@
     return hash;
   }
 
-  /** Forgets all ids whose numbers are not among these. */
-  retain(kept: ReadonlySet<number>): void {
+  /** Evicts all ids whose hashes are not among these. */
+  retain(retained: ReadonlySet<number>): void {
     this.hashes.forEach((hash, id) => {
-      if (!kept.has(hash)) {
+      if (!retained.has(hash)) {
         this.hashes.delete(id);
       }
     });
