--- a/src/routing/address-table.ts
+++ b/src/routing/address-table.ts
@@ -1,37 +1,37 @@
 /**
- * The lookup tables of one address over all its retained generations.
+ * Lookup tables of one address over its retained generations.
  *
- * The base server of a key is its server in the oldest retained generation:
- * a flow without an entry in any flow table is at its base server. A key is
- * tracked when a flow may be elsewhere; the owner of a tracked key is asked.
+ * A key's base server is its server in the oldest retained generation; a flow
+ * without a flow-table entry is there. A key is tracked when its flow may be at
+ * another server, so that its partition's owner has to be asked.
  */
 import {eligibleServers, type EligibleServer} from './candidates.js';
 import type {FlowKey} from './flow-key.js';
 import {
-  serverIn,
+  lookUpServer,
   type GenerationTable,
   type TableBuilder,
 } from './generation-table.js';
 import {isRetained, type RoutedAddress} from './routed-address.js';
 import type {ServerMarks} from './server-marks.js';
 
-/** Parts that the low halves of keys are divided into, to take a share of them. */
-const SHARE_STEPS = 4_096;
+/** Granularity at which the flexible share of the keys is selected. */
+const FLEXIBLE_SHARE_STEPS = 4_096;
 
-/** All that routing needs to know of one address. */
+/** What the router knows of one address. */
 export class AddressTable {
   private constructor(
     readonly routed: RoutedAddress,
     readonly generations: readonly GenerationTable[],
-    /** Servers whose base flows may be elsewhere, by directory number. */
-    private readonly disturbed: ReadonlySet<number>,
-    /** Keys whose low half is below this, modulo `SHARE_STEPS`, are flexible. */
+    /** Directory numbers of base servers whose flows may be at other servers. */
+    private readonly displacedServers: ReadonlySet<number>,
+    /** Keys whose low half, modulo `FLEXIBLE_SHARE_STEPS`, is lower are flexible. */
     private readonly flexibleSteps: number,
-    /** Servers of the newest generation that may take new flows. */
+    /** Servers of the newest generation that new flows may be placed at. */
     readonly eligible: readonly EligibleServer[],
   ) {}
 
-  /** Builds the tables; `marks` are the newest known, active or not. */
+  /** Builds the tables of an address at a wall time, with staged or active marks. */
   static create(
     routed: RoutedAddress,
     builder: TableBuilder,
@@ -41,43 +41,44 @@
     const generations = routed.generations
       .filter(generation => isRetained(generation, routed, wallMs))
       .map(generation => builder.build(generation));
-    const disturbed = generations
+    const displaced = generations
       .flatMap(({generation}) => generation.servers)
-      .filter(({id}) => marks.isDisturbed(id, wallMs))
+      .filter(({id}) => marks.mayHaveDisplacedFlows(id, wallMs))
       .map(({id}) => builder.directory.numberOf(id));
     const shares = generations.map(table => table.generation.flexibleShare);
-    const flexibleSteps = Math.max(0, ...shares) * SHARE_STEPS;
+    const flexibleSteps = Math.max(0, ...shares) * FLEXIBLE_SHARE_STEPS;
     return new AddressTable(
       routed,
       generations,
-      new Set(disturbed),
+      new Set(displaced),
       flexibleSteps,
       eligibleServers(generations, marks),
     );
   }
 
-  /** The newest generation. */
+  /** The newest generation; at least one has to be retained. */
   get newest(): GenerationTable {
     return this.generations[this.generations.length - 1];
   }
 
-  /** Directory number of the server of flows without an entry. */
+  /** Returns the directory number of the key's base server, or `NO_SERVER`. */
   baseServer(key: FlowKey): number {
-    return serverIn(this.generations[0], key);
+    return lookUpServer(this.generations[0], key);
   }
 
-  /** Whether all retained generations agree on the key's server. */
-  isUnchanged(key: FlowKey): boolean {
+  /** Whether the key has the same server in all retained generations. */
+  isSameInAllGenerations(key: FlowKey): boolean {
     const base = this.baseServer(key);
-    return this.generations.every(table => serverIn(table, key) === base);
+    return this.generations.every(table => lookUpServer(table, key) === base);
   }
 
-  /** Whether a flow of this key may be at another than its base server. */
+  /** Whether a flow of this key may be at a server other than its base server. */
   isTracked(key: FlowKey): boolean {
     return (
-      key.low % SHARE_STEPS < this.flexibleSteps ||
-      (this.generations.length > 1 && !this.isUnchanged(key)) ||
-      (this.disturbed.size > 0 && this.disturbed.has(this.baseServer(key)))
+      key.low % FLEXIBLE_SHARE_STEPS < this.flexibleSteps ||
+      (this.generations.length > 1 && !this.isSameInAllGenerations(key)) ||
+      (this.displacedServers.size > 0 &&
+        this.displacedServers.has(this.baseServer(key)))
     );
   }
 }
--- a/src/routing/candidates.ts
+++ b/src/routing/candidates.ts
@@ -1,32 +1,38 @@
-/** The servers of an address that may take a new flow now. */
+/** Selects the servers of an address that may take a new flow now. */
 import type {GenerationTable} from './generation-table.js';
 import type {OpenFlowCounts} from './open-flow-counts.js';
 import type {Candidate} from './placement.js';
 import type {RoutedAddress} from './routed-address.js';
 import type {ServerMarks} from './server-marks.js';
 
-/** Share of its weight that a server starts with when it is new. */
-const COLD_SHARE = 0.1;
+/** Share of its weight that a new server starts with. */
+const SLOW_START_MINIMUM_SHARE = 0.1;
 
-/** A server of the newest generation that no mark forbids. */
+/** A server of the newest generation that the marks allow new flows at. */
 export interface EligibleServer {
   readonly id: string;
   /** Directory number. */
   readonly server: number;
   readonly weight: number;
-  /** Wall milliseconds at which it came; undefined for earlier ones. */
-  readonly newSinceMs: number | undefined;
+  /**
+   * Wall milliseconds at which the newest generation added it; undefined if the
+   * generation before had it or there was none.
+   */
+  readonly addedAtMs: number | undefined;
 }
 
-/** What the choice of candidates depends on. */
+/** What the candidates and their loads are computed from. */
 export interface CandidateContext {
   readonly flowCounts: OpenFlowCounts;
-  /** Members that open flows. */
-  readonly members: number;
+  /** Number of members that open flows. */
+  readonly memberCount: number;
   readonly wallMs: number;
 }
 
-/** The eligible servers; made once for each change of tables or marks. */
+/**
+ * Returns the eligible servers of the newest generation; computed once for each
+ * change of tables or marks. Generations are ordered oldest first.
+ */
 export function eligibleServers(
   generations: readonly GenerationTable[],
   marks: ServerMarks,
@@ -37,37 +43,40 @@
   return (newest?.generation.servers ?? [])
     .map(({id, weight}, index) => ({
       id,
-      server: newest.numbers[index],
+      server: newest.serverNumbers[index],
       weight,
-      newSinceMs: earlier.has(id) ? undefined : before?.endedAtMs,
+      addedAtMs: earlier.has(id) ? undefined : before?.endedAtMs,
     }))
     .filter(({id}) => marks.isEligible(id));
 }
 
-/** Eligible servers below their connection limit, with their load. */
-export function candidatesOf(
+/** Returns the eligible servers below their connection limit, with their loads. */
+export function selectCandidates(
   servers: readonly EligibleServer[],
   routed: RoutedAddress,
   context: CandidateContext,
 ): Candidate[] {
-  const {flowCounts: ledger, members, wallMs} = context;
+  const {flowCounts, memberCount, wallMs} = context;
   return servers
-    .map(({id, server, weight, newSinceMs}) => ({
+    .map(({id, server, weight, addedAtMs: addedAtMs}) => ({
       server,
-      weight: weight * warmShare(newSinceMs, routed.warmUpMs, wallMs),
-      flows: ledger.estimate(id, members),
-      ownFlows: ledger.ownCount(id),
+      weight: weight * slowStartShare(addedAtMs, routed.warmUpMs, wallMs),
+      flows: flowCounts.estimate(id, memberCount),
+      ownFlows: flowCounts.localCount(id),
     }))
     .filter(({flows}) => flows < routed.connectionLimit);
 }
 
-/** Grows from 0.1 to 1 while a server that an edit brought warms up. */
-function warmShare(
-  newSinceMs: number | undefined,
+/** Returns the share of its weight that a server gets, from 0.1 to 1 in slow start. */
+function slowStartShare(
+  addedAtMs: number | undefined,
   warmUpMs: number,
   wallMs: number,
 ): number {
-  return newSinceMs === undefined
+  return addedAtMs === undefined
     ? 1
-    : Math.min(1, Math.max(COLD_SHARE, (wallMs - newSinceMs) / warmUpMs));
+    : Math.min(
+        1,
+        Math.max(SLOW_START_MINIMUM_SHARE, (wallMs - addedAtMs) / warmUpMs),
+      );
 }
--- a/src/routing/decision.ts
+++ b/src/routing/decision.ts
@@ -1,61 +1,62 @@
-/** What a router says is to be done with a packet. */
+/** A router's decision on a packet, and how the packet arrived. */
 import type {FlowKey} from './flow-key.js';
 
-/** What to do with a packet. */
+/** Kinds of decisions. */
 export const DecisionKind = {
   FORWARD: 'forward',
   PASS: 'pass',
   DROP: 'drop',
 } as const;
 
-/** Why a packet is dropped. */
+/** Reasons to drop a packet. */
 export const DropReason = {
   UNKNOWN_ADDRESS: 'unknown-address',
-  /** The address is known but not in force yet, or was released. */
-  ADDRESS_NOT_IN_FORCE: 'address-not-in-force',
+  /** The address has no servers in the active revision: not added yet, or released. */
+  ADDRESS_NOT_ACTIVE: 'address-not-active',
   NO_SERVER: 'no-server',
   FLOW_TABLE_FULL: 'flow-table-full',
-  /** A new flow at a daemon that no peer answers. */
-  OUT_OF_TOUCH: 'out-of-touch',
+  /** An open at a daemon without a responsive peer, which may be outdated. */
+  NO_RESPONSIVE_PEER: 'no-responsive-peer',
 } as const;
 /** One of the reasons in `DropReason`. */
 export type DropReason = (typeof DropReason)[keyof typeof DropReason];
 
-/** Hand the packet on to a backend server. */
+/** Sends the packet to a backend server. */
 export interface Forward {
   readonly kind: typeof DecisionKind.FORWARD;
-  /** The server's id. */
+  /** Id of the server. */
   readonly server: string;
-  /** Set when the daemon that took the packet may remember the answer. */
+  /** Key for the hint to the daemon where the packet entered; undefined for none. */
   readonly remember?: FlowKey;
 }
 
-/** Pass the packet on to another daemon. */
+/** Passes the packet to another daemon. */
 export interface Pass {
   readonly kind: typeof DecisionKind.PASS;
+  /** Id of the daemon. */
   readonly member: string;
-  /** The receiver decides, whatever its own view says. */
+  /** Whether the receiver decides although it need not be the partition's owner. */
   readonly decide: boolean;
-  /** Members that the receiver asks next when it has no entry. */
+  /** Members to pass the packet on to, in order, if the receiver has no entry. */
   readonly chain: readonly string[];
 }
 
-/** Drop the packet and count it. */
+/** Drops the packet. */
 export interface Drop {
   readonly kind: typeof DecisionKind.DROP;
   readonly reason: DropReason;
 }
 
-/** One of the three. */
+/** What to do with a packet. */
 export type Decision = Forward | Pass | Drop;
 
-/** How a packet came to this daemon. */
+/** How a packet reached this daemon. */
 export interface Arrival {
-  /** Daemons that handled the packet before; 0 from the fabric. */
+  /** Daemons that handled the packet before this one; 0 from the fabric. */
   readonly hops: number;
-  /** The sender left the decision to this daemon, or to the chain's last. */
+  /** Whether this daemon decides although it need not be the partition's owner. */
   readonly decide: boolean;
-  /** Members still to be asked. */
+  /** Members to pass the packet on to, in order, if this daemon has no entry. */
   readonly chain: readonly string[];
 }
 
--- a/src/routing/flow-table.spec.ts
+++ b/src/routing/flow-table.spec.ts
@@ -26,7 +26,7 @@
   return {kind: EntryKind.HELD, server, address: 1, port: 2, deadline};
 }
 
-test('the flow table behaves as a map, collisions and removals included', () => {
+test('the flow table matches a map under collisions, removals and sweeps', () => {
   fc.assert(
     fc.property(STEPS, steps => {
       const table = FlowTable.create(1_000);
@@ -54,12 +54,12 @@
   );
 });
 
-test('the flow table grows, and refuses new keys at its bound', () => {
+test('the flow table grows and rejects new keys when it is full', () => {
   const table = FlowTable.create(5_000);
-  const kept = Array.from({length: 6_000}, (_, index) =>
+  const stored = Array.from({length: 6_000}, (_, index) =>
     table.set({high: index * 7, low: index}, entry(index % 10, 100)),
   );
-  assert.equal(kept.filter(Boolean).length, 5_000);
+  assert.equal(stored.filter(Boolean).length, 5_000);
   assert.equal(table.get({high: 7 * 4_999, low: 4_999})?.server, 9);
   assert.equal(table.get({high: 7 * 5_000, low: 5_000}), undefined);
   assert.equal(table.set({high: 7, low: 1}, entry(3, 100)), true);
--- a/src/routing/flow-table.ts
+++ b/src/routing/flow-table.ts
@@ -1,21 +1,19 @@
 /**
- * Bounded table of flow state: open addressing over typed arrays.
- *
- * An entry takes 21 bytes; arrays are at most 70% full and double when they
- * pass that, so an entry costs 30 to 60 bytes.
+ * Bounded hash table of flow state: open addressing with linear probing over
+ * typed arrays, which double in size when they are 70% full.
  */
 import type {FlowKey} from './flow-key.js';
 
-/** What an entry is. */
+/** Origin and state of an entry. */
 export const EntryKind = {
   EMPTY: 0,
-  /** Kept for others: this daemon is owner or backup of the flow. */
+  /** A placement that this daemon stores as a holder of the flow's partition. */
   HELD: 1,
-  /** A peer's answer, remembered for a while. */
+  /** A peer's answer, which expires after a short time. */
   CACHED: 2,
-  /** A closed flow, kept shortly for packets that arrive late. */
+  /** A closed flow; serves packets that arrive late. */
   CLOSED: 3,
-  /** A flow placed at its base server, kept for repeated opens. */
+  /** A flow just placed at its base server; serves repeated opens. */
   RECENT: 4,
 } as const;
 /** One of the kinds in `EntryKind`. */
@@ -33,14 +31,16 @@
   readonly deadline: number;
 }
 
+/** Slots of a new table; a power of two, as is every capacity. */
 const INITIAL_CAPACITY = 1_024;
-const MAXIMUM_FILL = 0.7;
-const SECONDS_A_SWEEP = 8;
+const MAXIMUM_LOAD_FACTOR = 0.7;
+/** Time in which the sweep visits every slot once. */
+const FULL_SWEEP_SECONDS = 8;
 
-/** Bytes that one place of the table takes. */
-export const BYTES_PER_PLACE = 21;
+/** Memory per slot, over all arrays. */
+export const BYTES_PER_SLOT = 21;
 
-/** Map from flow key to flow entry with a bound on its size. */
+/** Map from flow key to flow entry with a maximum number of entries. */
 export class FlowTable {
   private capacity = INITIAL_CAPACITY;
   private high = new Uint32Array(INITIAL_CAPACITY);
@@ -51,181 +51,177 @@
   private deadlines = new Uint32Array(INITIAL_CAPACITY);
   private kinds = new Uint8Array(INITIAL_CAPACITY);
   private readonly sizes = [0, 0, 0, 0, 0];
-  private sweepPosition = 0;
+  private nextSlotToSweep = 0;
 
-  private constructor(private readonly bound: number) {}
+  private constructor(private readonly maximumEntries: number) {}
 
-  /** Creates a table that holds at most `bound` entries. */
-  static create(bound: number): FlowTable {
-    return new FlowTable(bound);
+  /** Creates an empty table. */
+  static create(maximumEntries: number): FlowTable {
+    return new FlowTable(maximumEntries);
   }
 
-  /** Entries of all kinds. */
+  /** Number of entries of all kinds. */
   get size(): number {
     return this.sizes.reduce((sum, size) => sum + size, 0);
   }
 
-  /** Entries of one kind. */
+  /** Number of entries of one kind. */
   sizeOf(kind: EntryKind): number {
     return this.sizes[kind];
   }
 
-  /** Bytes of the arrays. */
+  /** Size of the arrays in bytes. */
   get bytes(): number {
-    return this.capacity * BYTES_PER_PLACE;
+    return this.capacity * BYTES_PER_SLOT;
   }
 
-  /** Places to sweep in one second, so that all are seen every 8 seconds. */
-  get capacityToSweep(): number {
-    return Math.ceil(this.capacity / SECONDS_A_SWEEP);
+  /** Slots to sweep per second to visit all in `FULL_SWEEP_SECONDS`. */
+  get slotsPerSweep(): number {
+    return Math.ceil(this.capacity / FULL_SWEEP_SECONDS);
   }
 
-  /** Whether another entry fits. */
-  get full(): boolean {
-    return this.size >= this.bound;
+  /** Whether the table is at its maximum number of entries. */
+  get isFull(): boolean {
+    return this.size >= this.maximumEntries;
   }
 
-  /** The place of a key, or -1. */
-  find(key: FlowKey): number {
+  /** Returns the slot of a key, or -1. */
+  findSlot(key: FlowKey): number {
     const mask = this.capacity - 1;
-    let place = startOf(key, mask);
-    while (this.kinds[place] !== EntryKind.EMPTY) {
-      if (this.high[place] === key.high && this.low[place] === key.low) {
-        return place;
+    let slot = homeSlot(key, mask);
+    while (this.kinds[slot] !== EntryKind.EMPTY) {
+      if (this.high[slot] === key.high && this.low[slot] === key.low) {
+        return slot;
       }
-      place = (place + 1) & mask;
+      slot = (slot + 1) & mask;
     }
     return -1;
   }
 
-  /** The server number at a place. */
-  serverAt(place: number): number {
-    return this.servers[place];
+  /** Returns the server number in a slot. */
+  serverAt(slot: number): number {
+    return this.servers[slot];
   }
 
-  /** The kind at a place. */
-  kindAt(place: number): EntryKind {
-    return this.kinds[place] as EntryKind;
+  /** Returns the kind of the entry in a slot. */
+  kindAt(slot: number): EntryKind {
+    return this.kinds[slot] as EntryKind;
   }
 
-  /** The whole entry of a key, if there is one. */
+  /** Returns the entry of a key; undefined if there is none. */
   get(key: FlowKey): FlowEntry | undefined {
-    const place = this.find(key);
-    return place < 0 ? undefined : this.entryAt(place);
+    const slot = this.findSlot(key);
+    return slot < 0 ? undefined : this.entryAt(slot);
   }
 
-  /** The deadline at a place, in monotonic seconds. */
-  deadlineAt(place: number): number {
-    return this.deadlines[place];
+  /** Returns the deadline of the entry in a slot, in monotonic seconds. */
+  deadlineAt(slot: number): number {
+    return this.deadlines[slot];
   }
 
-  /** Moves an entry's deadline. */
-  touch(place: number, deadline: number): void {
-    this.deadlines[place] = deadline;
+  /** Sets the deadline of the entry in a slot, in monotonic seconds. */
+  setDeadline(slot: number, deadline: number): void {
+    this.deadlines[slot] = deadline;
   }
 
-  /** Sets an entry; false when the table is full and the key is new. */
+  /** Adds or replaces an entry; false when the key is new and the table is full. */
   set(key: FlowKey, entry: FlowEntry): boolean {
-    const known = this.find(key);
-    if (known >= 0) {
-      this.write(known, key, entry);
+    const slot = this.findSlot(key);
+    if (slot >= 0) {
+      this.write(slot, key, entry);
       return true;
     }
-    if (this.full) {
+    if (this.isFull) {
       return false;
     }
     this.growIfNeeded();
-    this.write(this.freePlace(key), key, entry);
+    this.write(this.findFreeSlot(key), key, entry);
     return true;
   }
 
-  /** Removes a key. */
+  /** Removes the entry of a key, if there is one. */
   delete(key: FlowKey): void {
-    const place = this.find(key);
-    if (place >= 0) {
-      this.clear(place);
+    const slot = this.findSlot(key);
+    if (slot >= 0) {
+      this.clear(slot);
     }
   }
 
-  /** Removes expired entries among the next `places` places. */
-  sweep(nowSeconds: number, places: number): void {
-    let left = Math.min(places, this.capacity);
-    while (left > 0) {
-      left -= 1;
-      const place = this.sweepPosition;
-      if (this.expired(place, nowSeconds)) {
-        // Another entry may move here, so the place is looked at again.
-        this.clear(place);
+  /** Removes expired entries from the next `slots` slots, going around the table. */
+  sweep(nowSeconds: number, slots: number): void {
+    let remaining = Math.min(slots, this.capacity);
+    while (remaining > 0) {
+      remaining -= 1;
+      const slot = this.nextSlotToSweep;
+      if (this.isExpired(slot, nowSeconds)) {
+        // A later entry may move into the slot, so it is checked again.
+        this.clear(slot);
       } else {
-        this.sweepPosition = (place + 1) & (this.capacity - 1);
+        this.nextSlotToSweep = (slot + 1) & (this.capacity - 1);
       }
     }
   }
 
-  /** Calls `visit` for each entry. */
+  /** Calls `visit` for each entry, in the order of slots. */
   forEach(visit: (key: FlowKey, entry: FlowEntry) => void): void {
-    this.kinds.forEach((kind, place) => {
+    this.kinds.forEach((kind, slot) => {
       if (kind !== EntryKind.EMPTY) {
-        visit(
-          {high: this.high[place], low: this.low[place]},
-          this.entryAt(place),
-        );
+        visit({high: this.high[slot], low: this.low[slot]}, this.entryAt(slot));
       }
     });
   }
 
-  private entryAt(place: number): FlowEntry {
+  private entryAt(slot: number): FlowEntry {
     return {
-      kind: this.kinds[place] as EntryKind,
-      server: this.servers[place],
-      address: this.addresses[place],
-      port: this.ports[place],
-      deadline: this.deadlines[place],
+      kind: this.kinds[slot] as EntryKind,
+      server: this.servers[slot],
+      address: this.addresses[slot],
+      port: this.ports[slot],
+      deadline: this.deadlines[slot],
     };
   }
 
-  private expired(place: number, nowSeconds: number): boolean {
+  private isExpired(slot: number, nowSeconds: number): boolean {
     return (
-      this.kinds[place] !== EntryKind.EMPTY &&
-      this.deadlines[place] <= nowSeconds
+      this.kinds[slot] !== EntryKind.EMPTY && this.deadlines[slot] <= nowSeconds
     );
   }
 
-  private freePlace(key: FlowKey): number {
+  private findFreeSlot(key: FlowKey): number {
     const mask = this.capacity - 1;
-    let place = startOf(key, mask);
-    while (this.kinds[place] !== EntryKind.EMPTY) {
-      place = (place + 1) & mask;
+    let slot = homeSlot(key, mask);
+    while (this.kinds[slot] !== EntryKind.EMPTY) {
+      slot = (slot + 1) & mask;
     }
-    return place;
+    return slot;
   }
 
-  private write(place: number, key: FlowKey, entry: FlowEntry): void {
-    const before = this.kinds[place];
-    if (before !== EntryKind.EMPTY) {
-      this.sizes[before] -= 1;
+  private write(slot: number, key: FlowKey, entry: FlowEntry): void {
+    const previousKind = this.kinds[slot];
+    if (previousKind !== EntryKind.EMPTY) {
+      this.sizes[previousKind] -= 1;
     }
     this.sizes[entry.kind] += 1;
-    this.high[place] = key.high;
-    this.low[place] = key.low;
-    this.servers[place] = entry.server;
-    this.addresses[place] = entry.address;
-    this.ports[place] = entry.port;
-    this.deadlines[place] = entry.deadline;
-    this.kinds[place] = entry.kind;
+    this.high[slot] = key.high;
+    this.low[slot] = key.low;
+    this.servers[slot] = entry.server;
+    this.addresses[slot] = entry.address;
+    this.ports[slot] = entry.port;
+    this.deadlines[slot] = entry.deadline;
+    this.kinds[slot] = entry.kind;
   }
 
-  /** Empties a place and moves later entries of its run back. */
-  private clear(place: number): void {
+  /** Empties a slot and moves back entries whose probe sequence crosses it. */
+  private clear(slot: number): void {
     const mask = this.capacity - 1;
-    this.sizes[this.kinds[place]] -= 1;
-    this.kinds[place] = EntryKind.EMPTY;
-    let hole = place;
-    let next = (place + 1) & mask;
+    this.sizes[this.kinds[slot]] -= 1;
+    this.kinds[slot] = EntryKind.EMPTY;
+    let hole = slot;
+    let next = (slot + 1) & mask;
     while (this.kinds[next] !== EntryKind.EMPTY) {
-      const start = this.high[next] & mask;
-      const distanceToHole = (hole - start) & mask;
-      const distanceToNext = (next - start) & mask;
+      const home = this.high[next] & mask;
+      const distanceToHole = (hole - home) & mask;
+      const distanceToNext = (next - home) & mask;
       if (distanceToHole < distanceToNext) {
         this.move(next, hole);
         hole = next;
@@ -246,15 +242,15 @@
   }
 
   private growIfNeeded(): void {
-    if (this.size + 1 <= this.capacity * MAXIMUM_FILL) {
+    if (this.size + 1 <= this.capacity * MAXIMUM_LOAD_FACTOR) {
       return;
     }
-    const larger = new FlowTable(this.bound);
+    const larger = new FlowTable(this.maximumEntries);
     larger.allocate(this.capacity * 2);
     this.forEach((key, entry) => {
-      larger.write(larger.freePlace(key), key, entry);
+      larger.write(larger.findFreeSlot(key), key, entry);
     });
-    this.takeOver(larger);
+    this.replaceArrays(larger);
   }
 
   private allocate(capacity: number): void {
@@ -268,7 +264,7 @@
     this.kinds = new Uint8Array(capacity);
   }
 
-  private takeOver(other: FlowTable): void {
+  private replaceArrays(other: FlowTable): void {
     this.capacity = other.capacity;
     this.high = other.high;
     this.low = other.low;
@@ -277,14 +273,14 @@
     this.ports = other.ports;
     this.deadlines = other.deadlines;
     this.kinds = other.kinds;
-    this.sweepPosition = 0;
+    this.nextSlotToSweep = 0;
   }
 }
 
 /**
- * Where the search for a key starts. The low half also chooses the partition,
- * so a daemon's own entries would crowd together by it.
+ * Returns the slot where the probe for a key starts. The high half is used since
+ * the low half also selects the partition: a daemon's entries would cluster.
  */
-function startOf(key: FlowKey, mask: number): number {
+function homeSlot(key: FlowKey, mask: number): number {
   return key.high & mask;
 }
--- a/src/routing/former-holders.ts
+++ b/src/routing/former-holders.ts
@@ -1,20 +1,23 @@
-/** Earlier holders of partitions, asked for flows that the owner lacks. */
+/**
+ * Former holders of partitions that this daemon took over. They are asked for
+ * flows that this daemon has no entry for, until the partition's state arrives.
+ */
 import type {Clock} from '../ports/clock.js';
 
-/** Earlier holders asked, at the most. */
-const MAXIMUM_PREDECESSORS = 3;
+/** Limits the members asked per partition. */
+const MAXIMUM_FORMER_HOLDERS = 3;
 
-/** A previous holder that is asked until a partition's state has arrived. */
-interface Predecessor {
+/** A former holder of one partition. */
+interface FormerHolder {
   readonly member: string;
-  /** Monotonic milliseconds. */
+  /** Monotonic milliseconds until which it is asked. */
   readonly deadline: number;
 }
 
-/** The earlier holders of all partitions that this daemon took over. */
+/** The former holders of each partition that this daemon took over. */
 export class FormerHolders {
-  /** By partition, the latest first. */
-  private readonly predecessors = new Map<number, Predecessor[]>();
+  /** By partition, the latest holder first. */
+  private readonly holders = new Map<number, FormerHolder[]>();
 
   private constructor(private readonly clock: Clock) {}
 
@@ -23,37 +26,37 @@
     return new FormerHolders(clock);
   }
 
-  /** Asks earlier holders for unknown flows of a partition until a deadline. */
+  /** Adds former holders of a partition until `deadline`, in monotonic milliseconds. */
   use(partition: number, members: readonly string[], deadline: number): void {
-    const known = this.predecessors.get(partition) ?? [];
+    const known = this.holders.get(partition) ?? [];
     const others = known.filter(({member}) => !members.includes(member));
     const latest = members.map(member => ({member, deadline}));
-    this.predecessors.set(
+    this.holders.set(
       partition,
-      [...latest, ...others].slice(0, MAXIMUM_PREDECESSORS),
+      [...latest, ...others].slice(0, MAXIMUM_FORMER_HOLDERS),
     );
   }
 
-  /** Stops asking a member that is gone. */
-  forget(gone: string): void {
-    this.predecessors.forEach((known, partition) =>
-      this.predecessors.set(
+  /** Removes a member that left from all partitions. */
+  forget(removed: string): void {
+    this.holders.forEach((known, partition) =>
+      this.holders.set(
         partition,
-        known.filter(({member}) => member !== gone),
+        known.filter(({member}) => member !== removed),
       ),
     );
   }
 
-  /** Members to ask, the latest first. */
-  of(partition: number): string[] {
-    const known = this.predecessors.get(partition);
+  /** Returns the former holders whose deadline has not passed, the latest first. */
+  list(partition: number): string[] {
+    const known = this.holders.get(partition);
     if (known === undefined) {
       return [];
     }
     const now = this.clock.now();
     const current = known.filter(({deadline}) => deadline > now);
     if (current.length === 0) {
-      this.predecessors.delete(partition);
+      this.holders.delete(partition);
     }
     return current.map(({member}) => member);
   }
--- a/src/routing/generation-table.ts
+++ b/src/routing/generation-table.ts
@@ -1,7 +1,4 @@
-/**
- * Generations of an address with their lookup tables. Equal sets of servers
- * share one table.
- */
+/** Lookup tables of an address's generations, cached by the list of servers. */
 import type {Hasher} from '../ports/hasher.js';
 import type {FlowKey} from './flow-key.js';
 import {
@@ -12,18 +9,18 @@
 import type {AddressGeneration} from './routed-address.js';
 import type {ServerDirectory} from './server-directory.js';
 
-/** Number that stands for "no server". */
+/** Directory number that stands for the absence of a server. */
 export const NO_SERVER = -1;
 
 /** One generation with its lookup table. */
 export interface GenerationTable {
   readonly generation: AddressGeneration;
-  /** Directory numbers of the servers, by position in the generation. */
-  readonly numbers: readonly number[];
+  /** Directory numbers of the servers, in the order of the generation. */
+  readonly serverNumbers: readonly number[];
   readonly lookup: LookupTable;
 }
 
-/** Builds lookup tables, and shares one among equal sets of servers. */
+/** Builds lookup tables; generations with equal lists of servers share one. */
 export class TableBuilder {
   private readonly tables = new Map<string, LookupTable>();
 
@@ -37,24 +34,26 @@
     return new TableBuilder(hasher, directory);
   }
 
-  /** The table of a generation, from the cache if it was built before. */
+  /** Returns the table of a generation, from the cache if it was built before. */
   build(generation: AddressGeneration): GenerationTable {
     return {
       generation,
-      numbers: generation.servers.map(({id}) => this.directory.numberOf(id)),
-      lookup: this.lookupOf(generation),
+      serverNumbers: generation.servers.map(({id}) =>
+        this.directory.numberOf(id),
+      ),
+      lookup: this.getOrBuildLookup(generation),
     };
   }
 
-  /** Drops cached tables other than those in use. */
+  /** Evicts cached tables other than those in use. */
   retain(inUse: readonly GenerationTable[]): void {
-    const keep = new Set(inUse.map(({generation}) => cacheKey(generation)));
+    const retained = new Set(inUse.map(({generation}) => cacheKey(generation)));
     [...this.tables.keys()]
-      .filter(key => !keep.has(key))
+      .filter(key => !retained.has(key))
       .forEach(key => this.tables.delete(key));
   }
 
-  /** Bytes of all cached tables. */
+  /** Size of all cached tables in bytes. */
   get bytes(): number {
     return [...this.tables.values()].reduce(
       (sum, table) => sum + table.byteLength,
@@ -62,7 +61,7 @@
     );
   }
 
-  private lookupOf(generation: AddressGeneration): LookupTable {
+  private getOrBuildLookup(generation: AddressGeneration): LookupTable {
     const key = cacheKey(generation);
     const known = this.tables.get(key);
     if (known !== undefined) {
@@ -83,9 +82,9 @@
   return generation.servers.map(({id, weight}) => `${id}*${weight}`).join(',');
 }
 
-/** Directory number of a key's server in one generation. */
-export function serverIn(table: GenerationTable, key: FlowKey): number {
-  return table.numbers.length === 0
+/** Returns the directory number of a key's server, or `NO_SERVER`. */
+export function lookUpServer(table: GenerationTable, key: FlowKey): number {
+  return table.serverNumbers.length === 0
     ? NO_SERVER
-    : table.numbers[table.lookup[key.high % table.lookup.length]];
+    : table.serverNumbers[table.lookup[key.high % table.lookup.length]];
 }
--- a/src/routing/open-flow-counts.ts
+++ b/src/routing/open-flow-counts.ts
@@ -1,28 +1,30 @@
 /**
- * Open flows a server, summed over all daemons.
- *
- * Each daemon counts the opens and closes that it handled and publishes the
- * net counts; a flow may open at one daemon and close at another, so only the
- * sum over daemons means anything. Counts of daemons that are gone are kept.
+ * Counts open flows per server over all daemons. Each daemon publishes its opens
+ * less its closes. A flow may open at one daemon and close at another, so only
+ * the sum is a number of open flows, and counts of departed daemons stay in it.
  */
 import type {LoadVector} from '../generated/packet.js';
 import type {Hasher} from '../ports/hasher.js';
 import {ServerHashes} from './server-hashes.js';
 
-/** Vectors kept; the oldest are added into one when there are more. */
+/** Limits the vectors of other daemons; beyond it the oldest are merged into one. */
 const MAXIMUM_VECTORS = 64;
+/** Member name of the merged vector. */
 const FOLDED_MEMBER = 'folded';
 
+/** The counts that one daemon published last. */
 interface PublishedVector {
   readonly version: number;
+  /** Net opens by server hash. */
   readonly counts: ReadonlyMap<number, number>;
 }
 
-/** The counts of this daemon and what the others published. */
+/** Net opens by server hash, of this daemon and of the others. */
 export class OpenFlowCounts {
-  private readonly own = new Map<number, number>();
-  /** Changes since the last publication. */
+  private readonly local = new Map<number, number>();
+  /** Part of `local` that was counted since the last publication. */
   private readonly unpublished = new Map<number, number>();
+  /** By member, the least recently updated first. */
   private readonly others = new Map<string, PublishedVector>();
   private readonly sums = new Map<number, number>();
   private version = 0;
@@ -32,43 +34,43 @@
     private readonly hashes: ServerHashes,
   ) {}
 
-  /** Creates an empty ledger; `member` is unique to this run of the daemon. */
+  /** Creates empty counts; `member` differs between restarts of the daemon. */
   static create(member: string, hasher: Hasher): OpenFlowCounts {
     return new OpenFlowCounts(member, ServerHashes.create(hasher));
   }
 
-  /** Counts a flow opened (+1) or closed (-1) at a server. */
+  /** Counts flows opened (positive) or closed (negative) at a server. */
   count(server: string, change: number): void {
     const hash = this.hashes.of(server);
-    addTo(this.own, hash, change);
+    addTo(this.local, hash, change);
     addTo(this.unpublished, hash, change);
     addTo(this.sums, hash, change);
   }
 
   /**
-   * Estimated open flows at a server. What this daemon did since its last
-   * publication is taken to be done by each of the `members` alike, which
-   * keeps daemons that see the same counts from all choosing the same server.
+   * Returns the estimated number of open flows at a server. Assumes that each
+   * member has unpublished changes like this daemon's, so that daemons with the
+   * same published counts do not all choose the same server.
    */
-  estimate(server: string, members: number): number {
+  estimate(server: string, memberCount: number): number {
     const hash = this.hashes.of(server);
     const unpublished = this.unpublished.get(hash) ?? 0;
-    return (this.sums.get(hash) ?? 0) + unpublished * (members - 1);
+    return (this.sums.get(hash) ?? 0) + unpublished * (memberCount - 1);
   }
 
-  /** Opens less closes that this daemon handled. */
-  ownCount(server: string): number {
-    return this.own.get(this.hashes.of(server)) ?? 0;
+  /** Returns the opens less the closes that this daemon handled. */
+  localCount(server: string): number {
+    return this.local.get(this.hashes.of(server)) ?? 0;
   }
 
-  /** The vector to publish now. */
+  /** Returns this daemon's counts as a new version to send to the others. */
   publish(): LoadVector {
     this.version += 1;
     this.unpublished.clear();
     return this.vector();
   }
 
-  /** All vectors known, for a daemon that joins. */
+  /** Returns all known vectors, for a daemon that joins. */
   vectors(): LoadVector[] {
     return [
       this.vector(),
@@ -80,11 +82,11 @@
     ];
   }
 
-  /** Takes a vector that another daemon published, if it is newer. */
+  /** Replaces another daemon's vector if this one is newer. */
   receive(vector: LoadVector): void {
     const known = this.others.get(vector.member);
-    const outdated = known !== undefined && known.version >= vector.version;
-    if (vector.member === this.member || outdated) {
+    const isOutdated = known !== undefined && known.version >= vector.version;
+    if (vector.member === this.member || isOutdated) {
       return;
     }
     known?.counts.forEach((flows, server) => addTo(this.sums, server, -flows));
@@ -94,19 +96,19 @@
     counts.forEach((flows, server) => addTo(this.sums, server, flows));
     this.others.delete(vector.member);
     this.others.set(vector.member, {version: vector.version, counts});
-    this.fold();
+    this.foldOldest();
   }
 
   private vector(): LoadVector {
     return {
       member: this.member,
       version: this.version,
-      counts: toCounts(this.own),
+      counts: toCounts(this.local),
     };
   }
 
-  /** Adds the vector that was quiet for longest into the folded one. */
-  private fold(): void {
+  /** Merges the least recently updated vector into the folded one at the limit. */
+  private foldOldest(): void {
     if (this.others.size <= MAXIMUM_VECTORS) {
       return;
     }
--- a/src/routing/revision-tables.ts
+++ b/src/routing/revision-tables.ts
@@ -1,88 +1,87 @@
 /**
- * The lookup tables of two states of the configuration: what is staged, which
- * flows opened elsewhere may follow, and what is active, by which flows are
- * opened.
+ * Lookup tables of the staged and the active configuration. New flows are placed
+ * by the active one, while other daemons may already place flows by the staged one.
  */
 import type {Clock} from '../ports/clock.js';
 import {AddressTable} from './address-table.js';
 import {destinationKey} from './flow-key.js';
 import type {TableBuilder} from './generation-table.js';
 import {
-  upToRevision,
+  atRevision,
   type RoutedAddress,
   type RoutingRevision,
 } from './routed-address.js';
 import {ServerMarks} from './server-marks.js';
 
-/** The tables of one daemon. */
+/** The staged and active tables of one daemon. */
 export class RevisionTables {
   private stagedTables = new Map<number, AddressTable>();
   private activeTables = new Map<number, AddressTable>();
   private stagedMarks = ServerMarks.create();
   private activeMarks = ServerMarks.create();
-  private revision: RoutingRevision = {revision: 0, addresses: []};
-  private activeRevision = 0;
+  private stagedConfiguration: RoutingRevision = {revision: 0, addresses: []};
+  private activeNumber = 0;
 
   private constructor(
     private readonly builder: TableBuilder,
     private readonly clock: Clock,
   ) {}
 
-  /** Creates tables of no address. */
+  /** Creates tables without addresses. */
   static create(builder: TableBuilder, clock: Clock): RevisionTables {
     return new RevisionTables(builder, clock);
   }
 
-  /** Bytes of lookup tables. */
+  /** Size of all lookup tables in bytes. */
   get bytes(): number {
     return this.builder.bytes;
   }
 
-  /** Revision by which flows are opened. */
-  get active(): number {
-    return this.activeRevision;
+  /** Configuration revision that new flows are placed by. */
+  get activeRevision(): number {
+    return this.activeNumber;
   }
 
-  /** Newest revision known. */
-  get staged(): number {
-    return this.revision.revision;
+  /** Newest configuration revision staged. */
+  get stagedRevision(): number {
+    return this.stagedConfiguration.revision;
   }
 
-  /** The table of a destination by what is staged. */
+  /** Returns a destination's staged table; undefined if the address is not known. */
   stagedTable(address: number, port: number): AddressTable | undefined {
     return this.stagedTables.get(destinationKey(address, port));
   }
 
-  /** The table of a destination by what is active. */
+  /** Returns a destination's active table; undefined if the address is not known. */
   activeTable(address: number, port: number): AddressTable | undefined {
     return this.activeTables.get(destinationKey(address, port));
   }
 
-  /** Whether no active mark forbids new flows at a server. */
+  /** Whether the active marks allow new flows at the server. */
   isEligible(server: string): boolean {
     return this.activeMarks.isEligible(server);
   }
 
-  /** Takes a revision and marks; what is active stays. */
+  /** Stages a revision and marks; the active revision and marks stay. */
   stage(revision: RoutingRevision, marks: ServerMarks): void {
-    this.revision = revision;
+    this.stagedConfiguration = revision;
     this.stagedMarks = marks.copy();
     this.rebuild();
   }
 
-  /** Makes a revision and marks active. */
+  /** Activates a revision and marks. */
   activate(revision: number, marks: ServerMarks): void {
-    this.activeRevision = revision;
+    this.activeNumber = revision;
     this.activeMarks = marks.copy();
     this.rebuild();
   }
 
-  /** Rebuilds the tables, so that generations past their lifetime go. */
+  /** Rebuilds the tables without the generations whose flows have expired. */
   rebuild(): void {
-    const {addresses} = this.revision;
+    const {addresses} = this.stagedConfiguration;
     this.stagedTables = this.buildTables(addresses, this.stagedMarks);
     const active = addresses.map(routed =>
-      upToRevision(routed, this.activeRevision),
+      atRevision(routed, this.activeNumber),
     );
     this.activeTables = this.buildTables(active, this.activeMarks);
     const inUse = [
--- a/src/routing/routed-address.ts
+++ b/src/routing/routed-address.ts
@@ -1,21 +1,21 @@
-/** What a configuration revision says of one destination address. */
+/** Destination addresses of a configuration revision, with limits and servers. */
 
 /** A backend server of a service. */
 export interface RoutedServer {
-  /** "ip:port" of the server's packet entry. */
+  /** "ip:port" at which the server receives packets. */
   readonly id: string;
   /** Relative share of the flows; greater than 0. */
   readonly weight: number;
 }
 
 /**
- * One set of servers that an address has had. A later generation follows when
- * the servers, their weights, the service or the flexible share change.
+ * One version of an address's servers. A new generation starts when the servers,
+ * their weights, the workspace, the service or the flexible share change.
  */
 export interface AddressGeneration {
-  /** Revision that brought this generation. */
+  /** Revision that introduced this generation. */
   readonly since: number;
-  /** Wall milliseconds at which the next generation was accepted. */
+  /** Wall time at which the next generation was accepted; undefined for the newest. */
   readonly endedAtMs?: number;
   readonly workspace: string;
   readonly service: string;
@@ -30,15 +30,14 @@
   /** IPv4 address as an unsigned 32-bit number. */
   readonly address: number;
   readonly port: number;
-  /** Open flows that each server takes. */
+  /** Maximum number of open flows per server. */
   readonly connectionLimit: number;
-  /** Milliseconds over which a new server's share grows to its weight. */
+  /** Slow start: time over which a new server's share grows to its weight. */
   readonly warmUpMs: number;
-  /** Seconds after which a flow with no packet is forgotten. */
+  /** Time after which the entry of a flow without packets expires. */
   readonly idleLimitSeconds: number;
-  /** Milliseconds that the longest flow lasts. */
+  /** Longest duration of a flow. */
   readonly flowLifetimeMs: number;
-  /** The last is the newest. */
   readonly generations: readonly AddressGeneration[];
 }
 
@@ -48,7 +47,7 @@
   readonly addresses: readonly RoutedAddress[];
 }
 
-/** The newest generation of an address. */
+/** Returns the newest generation of an address. */
 export function newestGeneration(routed: RoutedAddress): AddressGeneration {
   return routed.generations[routed.generations.length - 1];
 }
@@ -65,8 +64,8 @@
   );
 }
 
-/** The address as it was at a revision; generations may be none. */
-export function upToRevision(
+/** Returns the address without generations newer than a revision; none may be left. */
+export function atRevision(
   routed: RoutedAddress,
   revision: number,
 ): RoutedAddress {
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -1,11 +1,14 @@
-/** The router that keeps flows at their servers through change. */
+/**
+ * Routes the packets of one daemon. Keeps each flow at its server while servers,
+ * configuration revisions and partition owners change.
+ */
 import {PacketKind, type Hint, type PacketHeader} from '../generated/packet.js';
 import type {FlowException} from '../generated/peer.js';
 import type {Clock} from '../ports/clock.js';
 import {Metric, type Counters} from '../ports/counters.js';
 import type {Hasher} from '../ports/hasher.js';
 import type {AddressTable} from './address-table.js';
-import {candidatesOf} from './candidates.js';
+import {selectCandidates} from './candidates.js';
 import {
   DecisionKind,
   DropReason,
@@ -15,7 +18,7 @@
 } from './decision.js';
 import {FlowKeys, partitionOf, type FlowKey} from './flow-key.js';
 import {EntryKind, FlowTable} from './flow-table.js';
-import {NO_SERVER, TableBuilder, serverIn} from './generation-table.js';
+import {NO_SERVER, TableBuilder, lookUpServer} from './generation-table.js';
 import {OpenFlowCounts} from './open-flow-counts.js';
 import {Ownership} from './ownership.js';
 import {LeastLoadedPlacement, type Placement} from './placement.js';
@@ -25,66 +28,69 @@
 import {ServerDirectory} from './server-directory.js';
 import type {ServerMarks} from './server-marks.js';
 
-/** Daemons that may handle one packet, the one from the fabric included. */
+/** Limits the daemons that handle one packet, from the one that the fabric chose on. */
 export const MAXIMUM_HOPS = 6;
 
-/** Hops after which a backup takes its owner to be unreachable for all. */
+/** Hops after which the backup decides, since no daemon so far reached the owner. */
 const HOPS_BEFORE_BACKUP = 2;
 
-/** Seconds that a peer's answer is used before the owner is asked again. */
-const CACHE_SECONDS = 30;
-/** Seconds that a closed flow's server is kept for late packets. */
-const CLOSED_SECONDS = 5;
-/** Seconds in which a repeated open goes to the first one's server. */
-const REPEATED_OPEN_SECONDS = 10;
+/** Lifetime of a `CACHED` entry, after which the owner is asked again. */
+const CACHED_TTL_SECONDS = 30;
+/** Lifetime of a `CLOSED` entry, which serves packets that arrive late. */
+const CLOSED_TTL_SECONDS = 5;
+/** Lifetime of a `RECENT` entry, which sends a repeated open to the same server. */
+const RECENT_TTL_SECONDS = 10;
 
-/** Which flows get an entry. */
+/** Which flows get an entry in the flow table. */
 export const StateScope = {
   /** Flows that are not at their base server. */
   EXCEPTIONS: 'exceptions',
-  /** All flows; kept to be measured against. */
+  /** All flows; the baseline for comparisons. */
   ALL: 'all',
 } as const;
 /** One of the scopes in `StateScope`. */
 export type StateScope = (typeof StateScope)[keyof typeof StateScope];
 
-/** What the router needs to know of the members. */
+/** The membership view that the router decides by. */
 export interface RouterView {
   readonly ownership: Ownership;
-  /** Members that open flows. */
+  /** Number of members that open flows. */
   readonly members: number;
-  /** Whether this daemon surely knows all that the member places flows by. */
+  /**
+   * Whether the member is responsive and this daemon has staged every change
+   * of revisions and marks that the member knows.
+   */
   isCurrent(member: string): boolean;
   /**
-   * Whether the member answered of late; for the daemon itself, whether any
-   * peer did.
+   * Whether the member answered recently; for this daemon itself, whether any
+   * peer did or there is none.
    */
   isResponsive(member: string): boolean;
-  /** Other members, which may reach a member that this one does not. */
+  /** Other members, any of which may reach a member that this one does not. */
   readonly relays: readonly string[];
 }
 
-/** What a router is made from. */
+/** Dependencies and limits of a `Router`. */
 export interface RouterOptions {
   readonly self: string;
-  /** Unique to this run of the daemon. */
+  /** Differs between restarts of the daemon. */
   readonly run: string;
   readonly hasher: Hasher;
   readonly clock: Clock;
   readonly counters: Counters;
-  /** Most entries of flow state. */
+  /** Capacity of the flow table, in entries. */
   readonly maximumEntries: number;
   readonly placement?: Placement;
   readonly scope?: StateScope;
 }
 
-/** An entry that is to reach the other holders of its partition. */
+/** A changed entry to be replicated to the other holders of its partition. */
 export interface EntryUpdate {
   readonly partition: number;
   readonly exception: FlowException;
 }
 
-/** Routes packets; one instance a daemon. */
+/** Decides for each packet which server or daemon it goes to; one per daemon. */
 export class Router {
   readonly flows: FlowTable;
   readonly flowCounts: OpenFlowCounts;
@@ -92,7 +98,7 @@
   private readonly keys: FlowKeys;
   private readonly tables: RevisionTables;
   private readonly placement: Placement;
-  /** Earlier holders of partitions that this daemon took over. */
+  /** Members that held this daemon's partitions before it took them over. */
   readonly formerHolders: FormerHolders;
   private updates: EntryUpdate[] = [];
   private view: RouterView;
@@ -105,9 +111,9 @@
     const builder = TableBuilder.create(options.hasher, this.directory);
     this.tables = RevisionTables.create(builder, options.clock);
     this.placement = options.placement ?? LeastLoadedPlacement.create();
-    const alone = [{id: options.self, failureDomain: ''}];
+    const soleMember = [{id: options.self, failureDomain: ''}];
     this.view = {
-      ownership: Ownership.create(alone, options.hasher),
+      ownership: Ownership.create(soleMember, options.hasher),
       members: 1,
       isCurrent: () => true,
       isResponsive: () => true,
@@ -115,50 +121,50 @@
     };
   }
 
-  /** Creates a router that knows no address and no other member. */
+  /** Creates a router without addresses and with this daemon as its only member. */
   static create(options: RouterOptions): Router {
     return new Router(options);
   }
 
-  /** Bytes of lookup tables. */
+  /** Size of all lookup tables in bytes. */
   get tableBytes(): number {
     return this.tables.bytes;
   }
 
-  /** Revision by which flows are opened. */
+  /** Configuration revision that new flows are placed by. */
   get active(): number {
-    return this.tables.active;
+    return this.tables.activeRevision;
   }
 
-  /** Newest revision known. */
-  get staged(): number {
-    return this.tables.staged;
+  /** Newest configuration revision that this daemon has received. */
+  get stagedRevision(): number {
+    return this.tables.stagedRevision;
   }
 
   /**
-   * Takes a revision and marks into account for flows opened elsewhere. Flows
-   * are still opened by what is active.
+   * Applies a revision and marks to flows that other daemons may already place
+   * by them. This daemon keeps placing flows by the active ones.
    */
   stage(revision: RoutingRevision, marks: ServerMarks): void {
     this.tables.stage(revision, marks);
   }
 
-  /** Opens flows by a revision and marks that every peer has staged. */
+  /** Starts to place flows by a revision and marks that every peer has staged. */
   activate(revision: number, marks: ServerMarks): void {
     this.tables.activate(revision, marks);
   }
 
-  /** Rebuilds the tables, so that generations past their lifetime go. */
+  /** Rebuilds the tables without the generations whose flows have expired. */
   rebuild(): void {
     this.tables.rebuild();
   }
 
-  /** Takes a new view of the members. */
+  /** Replaces the membership view. */
   useView(view: RouterView): void {
     this.view = view;
   }
 
-  /** Decides what is done with a packet. */
+  /** Returns the decision for a packet, and updates flow state and counts. */
   route(packet: PacketHeader, arrival: Arrival): Decision {
     const table = this.tables.stagedTable(
       packet.destinationAddress,
@@ -173,21 +179,24 @@
     if (!this.isTracked(table, key) && this.view.isCurrent(owner)) {
       return this.forwardToBase(table, key, packet);
     }
-    if (this.mayHaveWaited(packet)) {
-      return {kind: DecisionKind.DROP, reason: DropReason.OUT_OF_TOUCH};
+    if (this.mayBeStaleOpen(packet)) {
+      return {kind: DecisionKind.DROP, reason: DropReason.NO_RESPONSIVE_PEER};
     }
     return (
-      this.forwardKnown(table, key, packet, arrival) ??
-      this.passOn(key, owner, arrival) ??
+      this.forwardByEntry(table, key, packet, arrival) ??
+      this.passToDecider(key, owner, arrival) ??
       this.decide(table, key, packet, arrival)
     );
   }
 
-  /** Remembers a peer's answer. */
+  /**
+   * Caches the server that a peer chose for a flow; an empty server removes
+   * the entry. Entries of any kind but `CACHED` are left as they are.
+   */
   onHint(hint: Hint): void {
     const key = {high: hint.keyHigh, low: hint.keyLow};
-    const place = this.flows.find(key);
-    if (place >= 0 && this.flows.kindAt(place) !== EntryKind.CACHED) {
+    const slot = this.flows.findSlot(key);
+    if (slot >= 0 && this.flows.kindAt(slot) !== EntryKind.CACHED) {
       return;
     }
     if (hint.server === '') {
@@ -199,43 +208,43 @@
       server: this.directory.numberOf(hint.server),
       address: hint.address,
       port: hint.port,
-      deadline: this.seconds() + CACHE_SECONDS,
+      deadline: this.nowSeconds() + CACHED_TTL_SECONDS,
     });
   }
 
-  /** Entries changed since the last call, for the other holders. */
+  /** Returns and clears the entries changed since the last call. */
   takeUpdates(): EntryUpdate[] {
     const updates = this.updates;
     this.updates = [];
     return updates;
   }
 
-  /** Takes entries from another holder; returns how many were taken. */
+  /** Applies entries from another holder; returns the number applied. */
   applyExceptions(exceptions: readonly FlowException[]): number {
     return exceptions.filter(exception => this.applyException(exception))
       .length;
   }
 
-  /** Entries of the partitions; with `cached`, answers of peers as well. */
+  /** Returns the held entries of the partitions; with `cached`, cached ones too. */
   exceptionsOf(
     partitions: ReadonlySet<number>,
     cached = false,
   ): FlowException[] {
-    const found: FlowException[] = [];
+    const selected: FlowException[] = [];
     this.flows.forEach((key, entry) => {
-      const wanted =
+      const isIncluded =
         entry.kind === EntryKind.HELD ||
         (cached && entry.kind === EntryKind.CACHED);
-      if (wanted && partitions.has(partitionOf(key))) {
-        found.push(this.exceptionOf(key, entry, false));
+      if (isIncluded && partitions.has(partitionOf(key))) {
+        selected.push(this.exceptionOf(key, entry, false));
       }
     });
-    return found;
+    return selected;
   }
 
-  /** Removes expired entries; called every second. */
+  /** Removes expired entries and updates gauges; called once per second. */
   sweep(): void {
-    this.flows.sweep(this.seconds(), this.flows.capacityToSweep);
+    this.flows.sweep(this.nowSeconds(), this.flows.slotsPerSweep);
     this.options.counters.set(
       Metric.FLOWS_HELD,
       this.flows.sizeOf(EntryKind.HELD),
@@ -247,10 +256,11 @@
   }
 
   /**
-   * An open that waited while this daemon was paused may repeat one that was
-   * placed long ago by other tables. Its caller sends it again.
+   * Whether the packet is an open that may have waited while this daemon was
+   * suspended. The flow may have been placed since by newer tables, so the open
+   * is dropped; the client sends it again.
    */
-  private mayHaveWaited(packet: PacketHeader): boolean {
+  private mayBeStaleOpen(packet: PacketHeader): boolean {
     return (
       packet.kind === PacketKind.OPEN &&
       !this.view.isResponsive(this.options.self)
@@ -270,34 +280,34 @@
     if (server === NO_SERVER) {
       return {kind: DecisionKind.DROP, reason: DropReason.NO_SERVER};
     }
-    this.count(server, packet.kind);
+    this.countFlow(server, packet.kind);
     return {kind: DecisionKind.FORWARD, server: this.directory.idOf(server)};
   }
 
-  /** Forwards a packet of a flow that this daemon has an entry for. */
-  private forwardKnown(
+  /** Decides by this daemon's entry of the flow; undefined without a usable one. */
+  private forwardByEntry(
     table: AddressTable,
     key: FlowKey,
     packet: PacketHeader,
     arrival: Arrival,
   ): Forward | undefined {
-    const place = this.flows.find(key);
-    if (place < 0) {
+    const slot = this.flows.findSlot(key);
+    if (slot < 0) {
       return undefined;
     }
-    const usable =
+    const isUsable =
       packet.kind === PacketKind.DATA ||
-      (packet.kind === PacketKind.OPEN && this.isRepeatedOpen(key, place));
-    if (!usable) {
+      (packet.kind === PacketKind.OPEN && this.isRepeatedOpen(key, slot));
+    if (!isUsable) {
       return undefined;
     }
-    this.refresh(place, key, table.routed.idleLimitSeconds);
-    return this.forward(key, this.flows.serverAt(place), arrival);
+    this.extendDeadline(slot, key, table.routed.idleLimitSeconds);
+    return this.forward(key, this.flows.serverAt(slot), arrival);
   }
 
-  /** Whether an open is one that a holder of the partition has placed. */
-  private isRepeatedOpen(key: FlowKey, place: number): boolean {
-    const kind = this.flows.kindAt(place);
+  /** Whether the entry shows that an open of this flow was placed before. */
+  private isRepeatedOpen(key: FlowKey, slot: number): boolean {
+    const kind = this.flows.kindAt(slot);
     const holders = this.view.ownership.holdersOf(partitionOf(key));
     return (
       kind === EntryKind.RECENT ||
@@ -306,21 +316,25 @@
   }
 
   /**
-   * Moves the deadline of an entry that is past half its idle limit, here and
-   * at the other holders.
+   * Extends the deadline of a held entry, here and at the other holders, once
+   * half of its idle limit has passed.
    */
-  private refresh(place: number, key: FlowKey, idleLimit: number): void {
-    const now = this.seconds();
-    const fresh = this.flows.deadlineAt(place) - now > idleLimit / 2;
-    if (fresh || this.flows.kindAt(place) !== EntryKind.HELD) {
+  private extendDeadline(
+    slot: number,
+    key: FlowKey,
+    idleLimitSeconds: number,
+  ): void {
+    const now = this.nowSeconds();
+    const isFresh = this.flows.deadlineAt(slot) - now > idleLimitSeconds / 2;
+    if (isFresh || this.flows.kindAt(slot) !== EntryKind.HELD) {
       return;
     }
-    this.flows.touch(place, now + idleLimit);
-    this.publish(key, false);
+    this.flows.setDeadline(slot, now + idleLimitSeconds);
+    this.queueUpdate(key, false);
   }
 
-  /** Passes the packet to the daemon that knows, unless this one decides. */
-  private passOn(
+  /** Returns a pass to the daemon that decides; undefined if this one does. */
+  private passToDecider(
     key: FlowKey,
     owner: string,
     arrival: Arrival,
@@ -329,67 +343,70 @@
       return undefined;
     }
     if (arrival.decide) {
-      return this.passAlong(key, arrival.chain);
+      return this.passToNext(key, arrival.chain);
     }
     const partition = partitionOf(key);
     if (owner === this.options.self && this.view.isResponsive(owner)) {
-      const earlier = this.formerHolders.of(partition);
-      // The question comes back: what nobody knows is decided here.
-      return this.passAlong(
+      const formerHolders = this.formerHolders.list(partition);
+      // The owner ends the chain and decides when no former holder has an entry.
+      return this.passToNext(
         key,
-        earlier.length === 0 ? [] : [...earlier, owner],
+        formerHolders.length === 0 ? [] : [...formerHolders, owner],
       );
     }
-    const receiver = this.deciderOf(partition, owner, arrival.hops);
+    const receiver = this.selectDecider(partition, owner, arrival.hops);
     return receiver === undefined || receiver === this.options.self
       ? undefined
       : {kind: DecisionKind.PASS, member: receiver, decide: false, chain: []};
   }
 
   /**
-   * Whom to ask for the owner's answer. The backup decides for an owner that
-   * neither it nor another member reaches; a cut between the two alone must
-   * not have both decide. A daemon that nobody answers was cut off or paused;
-   * what it knows may be old.
+   * Returns the member to pass the packet to. The backup decides only after
+   * another member could not reach the owner either: a network fault between the
+   * two alone must not make both decide. A daemon without a responsive peer may
+   * have been isolated or suspended, so it leaves the decision to others.
    */
-  private deciderOf(
+  private selectDecider(
     partition: number,
     owner: string,
     hops: number,
   ): string | undefined {
     const {self} = this.options;
-    const {isResponsive: isInTouch, relays} = this.view;
+    const {isResponsive, relays} = this.view;
     const backup = this.view.ownership.backupOf(partition);
-    if (!isInTouch(self)) {
+    if (!isResponsive(self)) {
       return owner === self ? backup : owner;
     }
-    if (isInTouch(owner)) {
+    if (isResponsive(owner)) {
       return owner;
     }
-    const relay = relays.find(id => id !== owner && isInTouch(id));
+    const relay = relays.find(id => id !== owner && isResponsive(id));
     return backup === self && hops < HOPS_BEFORE_BACKUP ? relay : backup;
   }
 
-  /** Asks the next of several members, unless this daemon has the answer. */
-  private passAlong(
+  /**
+   * Returns a pass to the first responsive member of the chain; undefined if
+   * that is this daemon, none is left, or this daemon has the flow's placement.
+   */
+  private passToNext(
     key: FlowKey,
     chain: readonly string[],
   ): Decision | undefined {
     const [member, ...rest] = chain.filter(id => this.view.isResponsive(id));
     const isOwn = member === undefined || member === this.options.self;
-    return isOwn || this.isPlacedHere(key)
+    return isOwn || this.hasLocalPlacement(key)
       ? undefined
       : {kind: DecisionKind.PASS, member, decide: true, chain: rest};
   }
 
-  /** Whether this daemon's own entry says where the flow is. */
-  private isPlacedHere(key: FlowKey): boolean {
-    const place = this.flows.find(key);
-    const kind = place < 0 ? EntryKind.EMPTY : this.flows.kindAt(place);
+  /** Whether this daemon has a `HELD` or `RECENT` entry of the flow. */
+  private hasLocalPlacement(key: FlowKey): boolean {
+    const slot = this.flows.findSlot(key);
+    const kind = slot < 0 ? EntryKind.EMPTY : this.flows.kindAt(slot);
     return kind === EntryKind.HELD || kind === EntryKind.RECENT;
   }
 
-  /** Decides by this daemon's own entries. */
+  /** Decides by this daemon's own entries, and places the flow if it is new. */
   private decide(
     table: AddressTable,
     key: FlowKey,
@@ -397,21 +414,22 @@
     arrival: Arrival,
   ): Decision {
     if (!this.isTracked(table, key)) {
-      // An exception would be found by nobody: the others ask no one for it.
+      // Peers send packets of untracked keys to the base server without asking,
+      // so an exception would never be looked up.
       return packet.kind === PacketKind.OPEN
         ? this.openAt(table, key, table.baseServer(key), arrival)
         : this.forwardToBase(table, key, packet);
     }
-    const place = this.flows.find(key);
-    const kind = place < 0 ? EntryKind.EMPTY : this.flows.kindAt(place);
-    const known =
+    const slot = this.flows.findSlot(key);
+    const kind = slot < 0 ? EntryKind.EMPTY : this.flows.kindAt(slot);
+    const isPlaced =
       kind === EntryKind.HELD ||
       kind === EntryKind.RECENT ||
       (kind === EntryKind.CLOSED && packet.kind !== PacketKind.OPEN);
-    if (packet.kind === PacketKind.OPEN && !known) {
+    if (packet.kind === PacketKind.OPEN && !isPlaced) {
       return this.open(table, key, arrival);
     }
-    const server = known ? this.flows.serverAt(place) : table.baseServer(key);
+    const server = isPlaced ? this.flows.serverAt(slot) : table.baseServer(key);
     if (server === NO_SERVER) {
       return {kind: DecisionKind.DROP, reason: DropReason.NO_SERVER};
     }
@@ -426,37 +444,40 @@
     const {address, port} = table.routed;
     const active = this.tables.activeTable(address, port);
     if (active === undefined || active.generations.length === 0) {
-      return {kind: DecisionKind.DROP, reason: DropReason.ADDRESS_NOT_IN_FORCE};
+      return {kind: DecisionKind.DROP, reason: DropReason.ADDRESS_NOT_ACTIVE};
     }
     if (!this.isTracked(active, key)) {
-      // A peer may not know yet that the key is tracked and ask nobody.
+      // A peer that has staged no newer revision sends packets of this key to
+      // the base server without asking the owner.
       return this.openAt(table, key, active.baseServer(key), arrival);
     }
     return this.openByLoad(table, active, key, arrival);
   }
 
+  /** Places a new flow at one of the eligible servers by their load. */
   private openByLoad(
     table: AddressTable,
     active: AddressTable,
     key: FlowKey,
     arrival: Arrival,
   ): Decision {
-    if (active.newest.numbers.length === 0) {
-      return {kind: DecisionKind.DROP, reason: DropReason.ADDRESS_NOT_IN_FORCE};
+    if (active.newest.serverNumbers.length === 0) {
+      return {kind: DecisionKind.DROP, reason: DropReason.ADDRESS_NOT_ACTIVE};
     }
-    const candidates = candidatesOf(active.eligible, active.routed, {
+    const candidates = selectCandidates(active.eligible, active.routed, {
       flowCounts: this.flowCounts,
-      members: this.view.members,
+      memberCount: this.view.members,
       wallMs: this.options.clock.wall(),
     });
     if (candidates.length === 0) {
       return {kind: DecisionKind.DROP, reason: DropReason.NO_SERVER};
     }
-    const preferred = serverIn(active.newest, key);
+    const preferred = lookUpServer(active.newest, key);
     const chosen = this.placement.choose(candidates, preferred);
     return this.openAt(table, key, chosen, arrival);
   }
 
+  /** Opens a flow at a server, or without an entry when the flow table is full. */
   private openAt(
     table: AddressTable,
     key: FlowKey,
@@ -466,7 +487,7 @@
     if (server === NO_SERVER) {
       return {kind: DecisionKind.DROP, reason: DropReason.NO_SERVER};
     }
-    return this.remember(table, key, server)
+    return this.recordPlacement(table, key, server)
       ? this.forwardOpen(key, server, arrival)
       : this.openWithoutEntry(table, key, arrival);
   }
@@ -476,11 +497,11 @@
     server: number,
     arrival: Arrival,
   ): Decision {
-    this.count(server, PacketKind.OPEN);
+    this.countFlow(server, PacketKind.OPEN);
     return this.forward(key, server, arrival);
   }
 
-  /** At the bound of the flow table new flows follow the base table. */
+  /** Opens a flow at its base server when the flow table is full, or drops it. */
   private openWithoutEntry(
     table: AddressTable,
     key: FlowKey,
@@ -488,50 +509,58 @@
   ): Decision {
     this.options.counters.add(Metric.FLOWS_TABLE_FULL);
     const base = table.baseServer(key);
-    const usable =
+    const isUsable =
       base !== NO_SERVER &&
-      table.isUnchanged(key) &&
+      table.isSameInAllGenerations(key) &&
       this.tables.isEligible(this.directory.idOf(base));
-    return usable
+    return isUsable
       ? this.forwardOpen(key, base, arrival)
       : {kind: DecisionKind.DROP, reason: DropReason.FLOW_TABLE_FULL};
   }
 
-  /** Keeps where a flow was placed; false when the table is full. */
-  private remember(table: AddressTable, key: FlowKey, server: number): boolean {
-    const needsNone =
+  /**
+   * Stores where a flow was placed. Returns false when it needs an exception
+   * and the flow table is full.
+   */
+  private recordPlacement(
+    table: AddressTable,
+    key: FlowKey,
+    server: number,
+  ): boolean {
+    const needsNoException =
       this.options.scope !== StateScope.ALL &&
       server === table.baseServer(key) &&
-      table.isUnchanged(key);
+      table.isSameInAllGenerations(key);
     const {address, port, idleLimitSeconds} = table.routed;
-    const kept = this.flows.set(key, {
-      kind: needsNone ? EntryKind.RECENT : EntryKind.HELD,
+    const isStored = this.flows.set(key, {
+      kind: needsNoException ? EntryKind.RECENT : EntryKind.HELD,
       server,
       address,
       port,
       deadline:
-        this.seconds() + (needsNone ? REPEATED_OPEN_SECONDS : idleLimitSeconds),
+        this.nowSeconds() +
+        (needsNoException ? RECENT_TTL_SECONDS : idleLimitSeconds),
     });
-    if (kept && !needsNone) {
+    if (isStored && !needsNoException) {
       this.options.counters.add(Metric.FLOWS_PLACED_EXCEPTION);
-      this.publish(key, false);
+      this.queueUpdate(key, false);
     }
-    return kept || needsNone;
+    return isStored || needsNoException;
   }
 
   private close(
     table: AddressTable,
     key: FlowKey,
     server: number,
-    held: boolean,
+    wasHeld: boolean,
   ): void {
-    this.count(server, PacketKind.CLOSE);
+    this.countFlow(server, PacketKind.CLOSE);
     const {address, port} = table.routed;
-    const deadline = this.seconds() + CLOSED_SECONDS;
+    const deadline = this.nowSeconds() + CLOSED_TTL_SECONDS;
     const kind = EntryKind.CLOSED;
     this.flows.set(key, {kind, server, address, port, deadline});
-    if (held) {
-      this.publish(key, true);
+    if (wasHeld) {
+      this.queueUpdate(key, true);
     }
   }
 
@@ -543,7 +572,7 @@
     };
   }
 
-  private count(server: number, kind: PacketKind): void {
+  private countFlow(server: number, kind: PacketKind): void {
     if (kind === PacketKind.OPEN) {
       this.flowCounts.count(this.directory.idOf(server), 1);
     }
@@ -552,7 +581,8 @@
     }
   }
 
-  private publish(key: FlowKey, closed: boolean): void {
+  /** Queues the flow's entry for replication to the other holders. */
+  private queueUpdate(key: FlowKey, closed: boolean): void {
     const entry = this.flows.get(key);
     if (entry !== undefined) {
       this.updates.push({
@@ -574,32 +604,37 @@
       port: entry.port,
       server: this.directory.idOf(entry.server),
       closed,
-      secondsLeft: Math.max(0, entry.deadline - this.seconds()),
+      secondsLeft: Math.max(0, entry.deadline - this.nowSeconds()),
     };
   }
 
   private applyException(exception: FlowException): boolean {
     const key = {high: exception.keyHigh, low: exception.keyLow};
-    const place = this.flows.find(key);
-    const held = place >= 0 && this.flows.kindAt(place) === EntryKind.HELD;
+    const slot = this.flows.findSlot(key);
+    const isHeld = slot >= 0 && this.flows.kindAt(slot) === EntryKind.HELD;
     const owner = this.view.ownership.ownerOf(partitionOf(key));
-    if (held && owner === this.options.self && !exception.closed) {
-      // What the owner holds stands; the other holder may know of later use.
-      const deadline = this.seconds() + exception.secondsLeft;
-      this.flows.touch(place, Math.max(deadline, this.flows.deadlineAt(place)));
+    if (isHeld && owner === this.options.self && !exception.closed) {
+      // The owner's placement stands; the other holder may have seen later packets.
+      const deadline = this.nowSeconds() + exception.secondsLeft;
+      this.flows.setDeadline(
+        slot,
+        Math.max(deadline, this.flows.deadlineAt(slot)),
+      );
       return true;
     }
-    const lifetime = exception.closed ? CLOSED_SECONDS : exception.secondsLeft;
+    const lifetime = exception.closed
+      ? CLOSED_TTL_SECONDS
+      : exception.secondsLeft;
     return this.flows.set(key, {
       kind: exception.closed ? EntryKind.CLOSED : EntryKind.HELD,
       server: this.directory.numberOf(exception.server),
       address: exception.address,
       port: exception.port,
-      deadline: this.seconds() + lifetime,
+      deadline: this.nowSeconds() + lifetime,
     });
   }
 
-  private seconds(): number {
+  private nowSeconds(): number {
     return Math.floor(this.options.clock.now() / 1_000);
   }
 }
--- a/src/routing/server-marks.ts
+++ b/src/routing/server-marks.ts
@@ -1,13 +1,13 @@
 /**
- * What is known of the state of backend servers, from the platform's list and
- * from health probes. Newer versions replace older ones, in any order of
- * arrival.
+ * States of backend servers as the platform and health probes report them. Each
+ * report is a mark with a version; of one kind the highest version counts,
+ * whatever the order of arrival.
  */
 import type {ServerMark} from '../generated/peer.js';
 
 /**
- * Who says it. Two daemons probe each server; one of them alone may have lost
- * its own path to the server.
+ * Sources of marks. Two daemons probe each server, since a single prober may have
+ * lost its own path to it.
  */
 export const MarkKind = {
   PLATFORM: 'platform',
@@ -17,7 +17,7 @@
 /** One of the kinds in `MarkKind`. */
 export type MarkKind = (typeof MarkKind)[keyof typeof MarkKind];
 
-/** What is said. */
+/** Reported states of a server. */
 export const MarkState = {
   LIVE: 'live',
   LEAVING: 'leaving',
@@ -28,33 +28,34 @@
 /** One of the states in `MarkState`. */
 export type MarkState = (typeof MarkState)[keyof typeof MarkState];
 
-interface KnownServer {
+interface ServerRecord {
+  /** By kind. */
   readonly marks: Map<string, ServerMark>;
-  /** Wall milliseconds until which flows may be away from their base server. */
+  /** Wall milliseconds until which flows may be open away from their base server. */
   disturbedUntilMs: number;
 }
 
-/** The marks of all servers. */
+/** The newest marks of all servers. */
 export class ServerMarks {
-  private readonly servers = new Map<string, KnownServer>();
+  private readonly servers = new Map<string, ServerRecord>();
 
   private constructor() {}
 
-  /** Creates an empty record: every server is taken to be live. */
+  /** Creates a record without marks, in which every server is eligible. */
   static create(): ServerMarks {
     return new ServerMarks();
   }
 
-  /** Takes a mark; false when a newer one is known already. */
+  /** Applies a mark; false when the known one has the same or a higher version. */
   apply(mark: ServerMark): boolean {
-    const known = this.known(mark.server);
-    const before = known.marks.get(mark.kind);
+    const record = this.getOrCreate(mark.server);
+    const before = record.marks.get(mark.kind);
     if (before !== undefined && before.version >= mark.version) {
       return false;
     }
-    known.marks.set(mark.kind, mark);
-    known.disturbedUntilMs = Math.max(
-      known.disturbedUntilMs,
+    record.marks.set(mark.kind, mark);
+    record.disturbedUntilMs = Math.max(
+      record.disturbedUntilMs,
       mark.disturbedUntilMs,
     );
     return true;
@@ -62,44 +63,44 @@
 
   /** Whether new flows may be placed at the server. */
   isEligible(server: string): boolean {
-    const known = this.servers.get(server);
+    const record = this.servers.get(server);
     return (
-      known === undefined || (platformAllows(known) && probersAllow(known))
+      record === undefined || (platformAllows(record) && probersAllow(record))
     );
   }
 
-  /** Whether flows whose base is this server may have been placed elsewhere. */
-  isDisturbed(server: string, wallMs: number): boolean {
-    const known = this.servers.get(server);
+  /** Whether flows with this base server may have been placed at another one. */
+  mayHaveDisplacedFlows(server: string, wallMs: number): boolean {
+    const record = this.servers.get(server);
     return (
-      known !== undefined &&
-      (known.disturbedUntilMs > wallMs || !this.isEligible(server))
+      record !== undefined &&
+      (record.disturbedUntilMs > wallMs || !this.isEligible(server))
     );
   }
 
-  /** The mark of one kind, if there is one. */
+  /** Returns the newest mark of one kind; undefined if there is none. */
   markOf(server: string, kind: MarkKind): ServerMark | undefined {
     return this.servers.get(server)?.marks.get(kind);
   }
 
-  /** A copy that later marks do not change. */
+  /** Returns a copy that marks applied later do not change. */
   copy(): ServerMarks {
     const copy = new ServerMarks();
     this.all().forEach(mark => copy.apply(mark));
     return copy;
   }
 
-  /** All marks. */
+  /** Returns the newest marks of all servers and kinds. */
   all(): ServerMark[] {
-    return [...this.servers.values()].flatMap(known => [
-      ...known.marks.values(),
+    return [...this.servers.values()].flatMap(record => [
+      ...record.marks.values(),
     ]);
   }
 
-  private known(server: string): KnownServer {
-    const known = this.servers.get(server);
-    if (known !== undefined) {
-      return known;
+  private getOrCreate(server: string): ServerRecord {
+    const record = this.servers.get(server);
+    if (record !== undefined) {
+      return record;
     }
     const created = {marks: new Map<string, ServerMark>(), disturbedUntilMs: 0};
     this.servers.set(server, created);
@@ -107,17 +108,17 @@
   }
 }
 
-function platformAllows(known: KnownServer): boolean {
-  const state = known.marks.get(MarkKind.PLATFORM)?.state ?? MarkState.LIVE;
+function platformAllows(record: ServerRecord): boolean {
+  const state = record.marks.get(MarkKind.PLATFORM)?.state ?? MarkState.LIVE;
   return state === MarkState.LIVE;
 }
 
-/** A server is down when every prober says so, and full when one says so. */
-function probersAllow(known: KnownServer): boolean {
+/** False when every prober reports the server down, or any reports it full. */
+function probersAllow(record: ServerRecord): boolean {
   const states = [MarkKind.FIRST_PROBER, MarkKind.SECOND_PROBER].flatMap(
-    kind => known.marks.get(kind)?.state ?? [],
+    kind => record.marks.get(kind)?.state ?? [],
   );
-  const down =
+  const isDown =
     states.length > 0 && states.every(state => state === MarkState.DOWN);
-  return !down && !states.includes(MarkState.FULL);
+  return !isDown && !states.includes(MarkState.FULL);
 }
