--- a/src/catalog/bootstrapping-peers.ts
+++ b/src/catalog/bootstrapping-peers.ts
@@ -4,9 +4,9 @@
  */
 
 /** Time for which a daemon counts as one that seeks a copy, in milliseconds. */
-const SEEKING_MS = 1_500;
+const BOOTSTRAP_TTL_MS = 1_500;
 /** Daemons remembered; 250 bytes to each take a slow link of 14 Mbit/s 36 ms. */
-const MAXIMUM_SEEKERS = 256;
+const MAX_PEERS = 256;
 
 /** The seekers that one daemon heard of. */
 export class BootstrappingPeers {
@@ -21,21 +21,18 @@
   }
 
   /** Notes whether a daemon has a copy, by its own word. */
-  note(address: number, hasCopy: boolean, now: number): void {
+  record(address: number, hasCopy: boolean, now: number): void {
     if (hasCopy) {
       this.heardAt.delete(address);
-    } else if (
-      this.heardAt.has(address) ||
-      this.heardAt.size < MAXIMUM_SEEKERS
-    ) {
+    } else if (this.heardAt.has(address) || this.heardAt.size < MAX_PEERS) {
       this.heardAt.set(address, now);
     }
   }
 
   /** All that have said so of late. */
-  all(now: number): number[] {
+  listRecent(now: number): number[] {
     return [...this.heardAt]
-      .filter(([, at]) => now - at <= SEEKING_MS)
+      .filter(([, at]) => now - at <= BOOTSTRAP_TTL_MS)
       .map(([address]) => address);
   }
 }
--- a/src/catalog/catalog-exchange.ts
+++ b/src/catalog/catalog-exchange.ts
@@ -12,15 +12,15 @@
 import {CatalogTransferLimiter} from './catalog-transfer-limiter.js';
 
 /** Deadline of one pull, in milliseconds. */
-const PULL_LIMIT_MS = 900;
+const PULL_TIMEOUT_MS = 900;
 /** Pulls under way at once; a second one covers for a peer that died. */
-const MAXIMUM_PULLS = 2;
+const MAX_CONCURRENT_PULLS = 2;
 /** Daemons that one pull asks one after the other while they name others. */
-const MAXIMUM_HOPS = 6;
+const MAX_REFERRALS = 6;
 /** Longest wait until a daemon that was named has its copy, in milliseconds. */
-const LONGEST_WAIT_MS = 300;
+const MAX_REFERRAL_WAIT_MS = 300;
 /** Time between two pulls of records of servers with unreadable entries, in milliseconds. */
-const RECORDS_GAP_MS = 1_000;
+const MIN_RECORD_PULL_INTERVAL_MS = 1_000;
 
 /** What an exchange is made from. */
 export interface CatalogExchangeOptions {
@@ -34,21 +34,22 @@
   /** Until when a first copy is expected from the source; monotonic milliseconds. */
   snapshotExpectedUntil(): number;
   /** Told when something newer was taken. */
-  onTaken(): void;
+  onApplied(): void;
 }
 
 /** The copies that one daemon gives and takes. */
 export class CatalogExchange {
-  private readonly giver: CatalogTransferLimiter;
+  private readonly limiter: CatalogTransferLimiter;
   /** Addresses of the peers that are being asked. */
-  private readonly pulls = new Set<number>();
+  private readonly activePulls = new Set<number>();
   /** When records may be asked for again; monotonic milliseconds. */
-  private recordsDueAt = -Infinity;
+  private nextRecordPullAt = -Infinity;
   /** What was held and what was told when nothing was gained by asking for records. */
-  private fruitless: readonly [held: number, told: number] | undefined;
+  private lastFutileRecordPull:
+    readonly [held: number, told: number] | undefined;
 
   private constructor(private readonly options: CatalogExchangeOptions) {
-    this.giver = CatalogTransferLimiter.create(options.linkMbps);
+    this.limiter = CatalogTransferLimiter.create(options.linkMbps);
   }
 
   /** Creates an exchange that asks nobody. */
@@ -58,11 +59,11 @@
 
   /** Whether a peer is being asked for its copy. */
   get isPulling(): boolean {
-    return this.pulls.size > 0;
+    return this.activePulls.size > 0;
   }
 
   /** Answers a daemon that holds some versions. */
-  give(held: HeldVersions): CatalogUpdate {
+  answerPull(held: HeldVersions): CatalogUpdate {
     const {catalog, clock} = this.options;
     const now = clock.now();
     const update = updateFor(catalog, held, now);
@@ -70,14 +71,14 @@
       routes: update.routes?.routes.length ?? 0,
       servers: update.servers?.servers.length ?? 0,
     };
-    const referral = this.giver.referralFor(held.asker, size, now);
+    const referral = this.limiter.admitOrRefer(held.asker, size, now);
     return referral === undefined
       ? update
       : {routes: undefined, servers: undefined, ...referral};
   }
 
   /** Whether a daemon that told of itself holds something newer. */
-  isNewer(beat: Beat): boolean {
+  holdsNewer(beat: Beat): boolean {
     const {stamp} = this.options.catalog;
     const newerRoutes = beat.routeVersion > stamp.routeVersion;
     // Equal revisions with other servers: something was missed by one of the
@@ -93,12 +94,12 @@
   /** Pulls what a beat told of, unless it comes from the source meanwhile. */
   async pullNewer(sender: number, beat: Beat): Promise<void> {
     const {catalog} = this.options;
-    await this.whilePulling(sender, async () => {
-      await this.awaitCopy();
-      if (this.isNewer(beat)) {
+    await this.runPull(sender, async () => {
+      await this.awaitSnapshot();
+      if (this.holdsNewer(beat)) {
         const {serverRevision} = catalog.stamp;
         const isWhole = beat.serverRevision === serverRevision;
-        await this.pull(sender, isWhole, MAXIMUM_HOPS);
+        await this.pull(sender, isWhole, MAX_REFERRALS);
       }
     });
   }
@@ -116,58 +117,59 @@
       told !== held &&
       beat.serverDigest === catalog.stamp.serverDigest;
     const wasInVain =
-      this.fruitless?.[0] === held && this.fruitless[1] === told;
+      this.lastFutileRecordPull?.[0] === held &&
+      this.lastFutileRecordPull[1] === told;
     const now = clock.now();
-    if (isOther && !wasInVain && now >= this.recordsDueAt) {
-      this.recordsDueAt = now + RECORDS_GAP_MS;
-      await this.whilePulling(sender, () => this.askForRecords(sender, told));
+    if (isOther && !wasInVain && now >= this.nextRecordPullAt) {
+      this.nextRecordPullAt = now + MIN_RECORD_PULL_INTERVAL_MS;
+      await this.runPull(sender, () => this.requestRecords(sender, told));
     }
   }
 
   /** Asks for everything, as a daemon does that holds nothing; it may be referred on. */
-  private async askForRecords(sender: number, told: number): Promise<void> {
+  private async requestRecords(sender: number, told: number): Promise<void> {
     const {catalog, clock} = this.options;
     const before = catalog.unreadableDigest;
-    const held = {...this.held(true), serverDigest: 0};
-    const deadline = clock.now() + PULL_LIMIT_MS;
+    const held = {...this.heldVersions(true), serverDigest: 0};
+    const deadline = clock.now() + PULL_TIMEOUT_MS;
     const update = await this.options.channel.pull(sender, held, deadline);
     if (update.isErr() || update.value.other !== 0) {
       return;
     }
-    this.take(update.value);
+    this.apply(update.value);
     if (catalog.unreadableDigest === before) {
-      this.fruitless = [before, told];
+      this.lastFutileRecordPull = [before, told];
     }
   }
 
   /** Pulls a first copy from a daemon that is said to have one. */
   async pullFirst(giver: number): Promise<void> {
-    await this.whilePulling(giver, async () => {
-      await this.awaitCopy();
+    await this.runPull(giver, async () => {
+      await this.awaitSnapshot();
       if (this.options.catalog.stamp.serverRevision === 0) {
-        await this.pull(giver, true, MAXIMUM_HOPS);
+        await this.pull(giver, true, MAX_REFERRALS);
       }
     });
   }
 
   /** Runs one pull, unless enough of them run. */
-  private async whilePulling(
+  private async runPull(
     peer: number,
     pull: () => Promise<void>,
   ): Promise<void> {
     // A first copy is long, and a second one beside it takes its share of the link.
     const isFirst = this.options.catalog.stamp.serverRevision === 0;
-    const limit = isFirst ? 1 : MAXIMUM_PULLS;
-    if (this.pulls.has(peer) || this.pulls.size >= limit) {
+    const limit = isFirst ? 1 : MAX_CONCURRENT_PULLS;
+    if (this.activePulls.has(peer) || this.activePulls.size >= limit) {
       return;
     }
-    this.pulls.add(peer);
+    this.activePulls.add(peer);
     await pull();
-    this.pulls.delete(peer);
+    this.activePulls.delete(peer);
   }
 
   /** Waits while a first copy is expected from the source. */
-  private async awaitCopy(): Promise<void> {
+  private async awaitSnapshot(): Promise<void> {
     const {clock, catalog} = this.options;
     const until = this.options.snapshotExpectedUntil();
     if (until > clock.now()) {
@@ -185,8 +187,12 @@
     hops: number,
   ): Promise<void> {
     const {channel, clock, log} = this.options;
-    const deadline = clock.now() + PULL_LIMIT_MS;
-    const update = await channel.pull(giver, this.held(isWhole), deadline);
+    const deadline = clock.now() + PULL_TIMEOUT_MS;
+    const update = await channel.pull(
+      giver,
+      this.heldVersions(isWhole),
+      deadline,
+    );
     if (update.isErr()) {
       const cause = update.error.message;
       log.warn('pull-failed', {peer: formatIpv4(giver), cause});
@@ -194,9 +200,11 @@
     }
     const {other, waitMs} = update.value;
     if (other === 0) {
-      this.take(update.value);
+      this.apply(update.value);
     } else if (hops > 0 && other !== this.options.self) {
-      await this.sleepUntil(clock.now() + Math.min(waitMs, LONGEST_WAIT_MS));
+      await this.sleepUntil(
+        clock.now() + Math.min(waitMs, MAX_REFERRAL_WAIT_MS),
+      );
       await this.pull(other, isWhole, hops - 1);
     }
   }
@@ -207,7 +215,7 @@
     });
   }
 
-  private held(isWhole: boolean): HeldVersions {
+  private heldVersions(isWhole: boolean): HeldVersions {
     const {catalog, self} = this.options;
     const {routeVersion, serverRevision, serverDigest} = catalog.stamp;
     return {
@@ -218,9 +226,9 @@
     };
   }
 
-  private take(update: CatalogUpdate): void {
+  private apply(update: CatalogUpdate): void {
     const {catalog, clock} = this.options;
     applyUpdate(catalog, update, clock.now());
-    this.options.onTaken();
+    this.options.onApplied();
   }
 }
--- a/src/catalog/catalog-gossip.ts
+++ b/src/catalog/catalog-gossip.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the catalogs of a fleet alike. Each daemon sends beats with the versions
- * that it holds and the age of its newest read; a daemon that hears of a newer
- * version pulls it from the sender. In a small fleet beats go to everyone, in a
- * large one to a few by chance, and news is passed on at once.
+ * Replicates the catalog by gossip. Heartbeats carry the sender's catalog versions and
+ * the age of its last read; a daemon that hears of a newer version pulls it from the
+ * sender. In a small fleet heartbeats go to every peer, in a large one to a random
+ * few, and changes are relayed at once.
  */
 import type {Beat, PeerAge, ServerWork} from '../generated/catalog.js';
 import type {PeerDaemon} from '../membership/peer-daemon.js';
@@ -15,7 +15,7 @@
 import type {ServerReachability} from '../reachability/server-reachability.js';
 import type {Random} from '../routing/random.js';
 import {
-  ageOf,
+  encodeAge,
   decodeReaderStatus,
   encodeReaderStatus,
 } from './catalog-messages.js';
@@ -24,41 +24,31 @@
 import type {ReaderElection} from './reader-election.js';
 import {BootstrappingPeers} from './bootstrapping-peers.js';
 
-/** Time between two beats, in milliseconds; a fifth of it is by chance. */
-const BEAT_MS = 500;
+/** Interval between heartbeat rounds, before a jitter of 10% either way. */
+const HEARTBEAT_INTERVAL_MS = 500;
+/** Interval during the startup period while no peer is live: its seeds may start too. */
+const STARTUP_HEARTBEAT_INTERVAL_MS = 30;
+/** Length of the startup period. */
+const STARTUP_PERIOD_MS = 5_000;
 /**
- * The same while a daemon has just started and hears of nobody, and for how long. After
- * the loss of all, ample daemons are there first and have a copy before the daemons
- * whose addresses they know; these hear of them as soon as they are there.
+ * How often a daemon without a catalog tells the other bootstrapping peers which
+ * daemons have one. A holder that many of them ask refers them on.
  */
-const START_BEAT_MS = 30;
-const START_MS = 5_000;
-/**
- * Times that a daemon without a copy tells others without one who has one: the first
- * may be asked by many, and names others then.
- */
-const TIMES_SEEKERS_TOLD = 3;
-/** Time in which further ones are gathered before each such time, in milliseconds. */
-const SEEKER_GAP_MS = 10;
-/** Fleet size up to which a beat goes to everyone. */
-const MESH_LIMIT = 16;
-/** Receivers of a beat in a larger fleet, besides one anywhere. */
-const NEAR_FAN_OUT = 2;
-/**
- * Rounds between two beats to a peer that has fallen silent. A daemon that hears of
- * nobody greets in every round: it reads the source by itself until it does.
- */
-const ROUNDS_BETWEEN_GREETINGS = 4;
-/** How much younger a read must be for its news to be passed on, in milliseconds. */
-const RELAY_GAIN_MS = 300;
-/**
- * Time from one relay to the next, in milliseconds; news that comes meanwhile goes
- * along. It bounds what a daemon sends while many have news at once: 120 beats a
- * second, some 30 kB.
- */
-const RELAY_GAP_MS = 25;
-
-/** What the spread is made from. */
+const MAX_BOOTSTRAP_NOTICES = 3;
+/** Delay before such a notice, in which further bootstrapping peers are collected. */
+const BOOTSTRAP_NOTICE_DELAY_MS = 10;
+/** Live peers up to which heartbeats go to all of them. */
+const MAX_FULL_MESH_PEERS = 16;
+/** Receivers in the own failure domain in a larger fleet, besides one in any domain. */
+const SAME_DOMAIN_FANOUT = 2;
+/** Rounds between pings of silent peers, while any peer is live. */
+const SILENT_PEER_PING_ROUNDS = 4;
+/** How much fresher the catalog has to become for a heartbeat to be relayed. */
+const RELAY_THRESHOLD_MS = 300;
+/** Limits relays to 120 heartbeats (some 30 kB) a second. */
+const MIN_RELAY_INTERVAL_MS = 25;
+
+/** Dependencies and callbacks of `CatalogGossip`. */
 export interface CatalogGossipOptions {
   readonly catalog: Catalog;
   readonly peers: PeerView;
@@ -68,112 +58,119 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly random: Random;
-  /** What the instance's link carries, in megabits a second. */
+  /** Bandwidth of the instance's link, in megabits per second. */
   readonly linkMbps: number;
-  /** Addresses of daemons that may run, as IPv4 numbers. */
+  /** Returns the configured addresses of other daemons, as IPv4 numbers. */
   seeds(): readonly number[];
-  /** This daemon as its peers are to know it, now. */
+  /** Returns this daemon's current entry for the membership views of its peers. */
   self(): PeerAge;
   /**
-   * Work to tell. In a large fleet too few daemons hear of it for counts to mean
-   * anything; only servers that are silent are to be told.
+   * Returns the server load to gossip. In a large fleet it is limited to silent
+   * servers, because too few daemons hear each other for counts to be useful.
    */
   selectLoadToGossip(isLarge: boolean): ServerWork[];
-  /** Until when a first copy is expected from the source; monotonic milliseconds. */
+  /** Returns until when a snapshot from the source is awaited; monotonic milliseconds. */
   snapshotExpectedUntil(): number;
-  /** Told when another daemon begins to read the source, or ceases to. */
+  /** Called when a peer becomes a reader of the source, tries to, or ceases to be one. */
   onElectionChange(): void;
-  /** Takes the work that a peer told. */
+  /** Called with the server load that a peer reports. */
   onWork(sender: number, work: readonly ServerWork[]): void;
 }
 
-/** The exchange of one daemon with its peers. */
+/** Exchanges heartbeats and catalog updates with the peers of one daemon. */
 export class CatalogGossip {
   private timer: Timer | undefined;
   private round = 0;
-  /** Set while news waits to be passed on. */
+  /** Set while a relay is scheduled. */
   private relayTimer: Timer | undefined;
-  /** Monotonic milliseconds at which news was last passed on. */
+  /** Time of the last relay; monotonic milliseconds. */
   private relayedAt = -Infinity;
-  private readonly copies: CatalogExchange;
-  private readonly seekers = BootstrappingPeers.create();
-  /** How often those that have no copy were told of others that have one. */
-  private timesToldSeekers = 0;
-  private seekerTimer: Timer | undefined;
-  private hadCopy = false;
+  private readonly exchange: CatalogExchange;
+  private readonly bootstrappingPeers = BootstrappingPeers.create();
+  /** Bootstrap notices scheduled so far. */
+  private bootstrapNotices = 0;
+  private bootstrapNoticeTimer: Timer | undefined;
+  private hasAnnouncedCopy = false;
   private readonly startedAt: number;
 
   private constructor(private readonly options: CatalogGossipOptions) {
     this.startedAt = options.clock.now();
-    this.copies = CatalogExchange.create({
+    this.exchange = CatalogExchange.create({
       ...options,
       self: options.self().address,
-      onTaken: () => this.relay(),
+      onApplied: () => this.relay(),
     });
   }
 
-  /** Creates a spread that does nothing until started. */
+  /** Creates the gossip of one daemon, which is idle until started. */
   static create(options: CatalogGossipOptions): CatalogGossip {
     return new CatalogGossip(options);
   }
 
-  /** Starts to serve peers and to send beats; the returned function stops. */
+  /** Starts serving peers and sending heartbeats; the returned function stops both. */
   async start(): Promise<() => void> {
     const {channel, catalog} = this.options;
     await channel.serve({
-      onHeartbeat: (sender, beat) => this.onBeat(sender, beat),
-      onPull: held => this.copies.give(held),
+      onHeartbeat: (sender, heartbeat) =>
+        this.handleHeartbeat(sender, heartbeat),
+      onPull: held => this.exchange.answerPull(held),
     });
-    catalog.onChange(() => this.tellSeekersOfOwn());
+    catalog.onChange(() => this.announceFirstCopy());
     this.tick();
     return () => {
       this.timer?.cancel();
       this.relayTimer?.cancel();
-      this.seekerTimer?.cancel();
+      this.bootstrapNoticeTimer?.cancel();
       void channel.close();
     };
   }
 
-  /** Whether a peer is being asked for its copy. */
+  /** Whether a catalog pull is in progress. */
   get isPulling(): boolean {
-    return this.copies.isPulling;
+    return this.exchange.isPulling;
   }
 
-  /** Sends a beat now, because there is news. */
+  /** Sends a heartbeat outside the regular rounds. */
   announce(): void {
-    this.sendToAll(this.receivers(), false);
+    this.sendToAll(this.selectReceivers(), false);
   }
 
-  /** Asks peers to try to reach a server. */
+  /** Asks daemons to check whether they can reach a server. */
   ask(daemons: readonly number[], server: string): void {
-    const beat = {...this.beat(false), reachAsks: [server]};
-    daemons.forEach(address => this.send(address, beat));
+    const heartbeat = {...this.createHeartbeat(false), reachAsks: [server]};
+    daemons.forEach(address => this.send(address, heartbeat));
   }
 
-  /** Tells a peer that asked what came of it. */
+  /** Sends the result of a reachability check to the daemon that asked for it. */
   vote(daemon: number, server: string, result: ContactResult): void {
     const reached = result === ContactResult.REACHED;
-    this.send(daemon, {...this.beat(false), reachVotes: [{server, reached}]});
+    this.send(daemon, {
+      ...this.createHeartbeat(false),
+      reachVotes: [{server, reached}],
+    });
   }
 
   private tick(): void {
     const {clock, random} = this.options;
-    const isLonelyStart =
-      this.livePeers() === 0 && clock.now() - this.startedAt < START_MS;
-    const beat = isLonelyStart ? START_BEAT_MS : BEAT_MS;
-    const pause = beat * (0.9 + random.next() / 5);
+    const isStartingAlone =
+      this.countLivePeers() === 0 &&
+      clock.now() - this.startedAt < STARTUP_PERIOD_MS;
+    const interval = isStartingAlone
+      ? STARTUP_HEARTBEAT_INTERVAL_MS
+      : HEARTBEAT_INTERVAL_MS;
+    const pause = interval * (0.9 + random.next() / 5);
     this.timer = clock.callAt(clock.now() + pause, () => this.tick());
-    this.beatAndGreet();
-    const isAlone = this.livePeers() === 0;
-    if (isAlone || this.round % ROUNDS_BETWEEN_GREETINGS === 0) {
-      this.greetSilent();
+    this.sendRound();
+    const isAlone = this.countLivePeers() === 0;
+    if (isAlone || this.round % SILENT_PEER_PING_ROUNDS === 0) {
+      this.pingSilentPeers();
     }
     this.round += 1;
-    this.tellLost();
+    this.logLostPeers();
   }
 
-  /** One line for each peer that is lost, here, or has left. */
-  private tellLost(): void {
+  /** Logs each peer that was lost or has left since the last round. */
+  private logLostPeers(): void {
     const {peers, clock, log} = this.options;
     const now = clock.now();
     peers.takeLost(now).forEach(({address, failureDomain, leaving, aliveAt}) =>
@@ -186,32 +183,34 @@
   }
 
   /**
-   * The beats of one round. Peers that owe an answer are greeted, and in a large fleet
-   * the near one that was not heard of for longest: so a daemon that has ended is
-   * found out before news of others crowds it out of the views that hold it.
+   * Sends the heartbeats of one round, as pings to the peers that are due for one. In
+   * a large fleet the least recently heard peer of the own failure domain is pinged as
+   * well, so that its failure is detected before newer entries evict it from all views.
    */
-  private beatAndGreet(): void {
+  private sendRound(): void {
     const {peers, clock} = this.options;
     const now = clock.now();
-    const receivers = this.receivers();
-    const asked = this.isLarge() ? this.oldestNearPeers(1) : [];
-    const greeted = new Map(
-      [...peers.selectPeersToPing(now), ...asked].map(peer => [
+    const receivers = this.selectReceivers();
+    const leastRecent = this.isLargeFleet()
+      ? this.leastRecentDomainPeers(1)
+      : [];
+    const pinged = new Map(
+      [...peers.selectPeersToPing(now), ...leastRecent].map(peer => [
         peer.address,
         peer,
       ]),
     );
-    greeted.forEach(peer => peers.recordPing(peer, now));
-    this.sendToAll([...greeted.values()], true);
-    // A greeting takes the place of one beat.
+    pinged.forEach(peer => peers.recordPing(peer, now));
+    this.sendToAll([...pinged.values()], true);
+    // The ping of the least recently heard peer replaces one heartbeat.
     const others = receivers
-      .slice(asked.length)
-      .filter(({address}) => !greeted.has(address));
+      .slice(leastRecent.length)
+      .filter(({address}) => !pinged.has(address));
     this.sendToAll(others, false);
   }
 
-  /** Beats to those that may be back, so that cuts heal. */
-  private greetSilent(): void {
+  /** Pings silent seeds and one silent peer, so that the fleet rejoins after a partition. */
+  private pingSilentPeers(): void {
     const {peers, clock, random} = this.options;
     const now = clock.now();
     const live = new Set(peers.live(now).map(({address}) => address));
@@ -220,34 +219,37 @@
       .filter(address => !live.has(address));
     const silentPeer = random.pick(peers.silent(now));
     const addresses = silentPeer === undefined ? [] : [silentPeer.address];
-    const greeted = new Set([...silentSeeds, ...addresses]);
+    const pinged = new Set([...silentSeeds, ...addresses]);
     this.sendToAll(
-      [...greeted].map(address => ({address})),
+      [...pinged].map(address => ({address})),
       true,
     );
   }
 
-  /** Peers that the next beat goes to. */
-  private receivers(): PeerDaemon[] {
+  /** Selects the receivers of a heartbeat. */
+  private selectReceivers(): PeerDaemon[] {
     const {peers, clock} = this.options;
     const live = peers.live(clock.now());
-    if (live.length <= MESH_LIMIT) {
+    if (live.length <= MAX_FULL_MESH_PEERS) {
       return live;
     }
-    // Most beats stay within the failure domain; one may cross.
-    const near = this.nearPeers();
-    return [...peers.sample(near, NEAR_FAN_OUT), ...peers.sample(live, 1)];
+    // Only the last one may be in another failure domain.
+    const sameDomain = this.liveDomainPeers();
+    return [
+      ...peers.sample(sameDomain, SAME_DOMAIN_FANOUT),
+      ...peers.sample(live, 1),
+    ];
   }
 
-  /** Live peers of the own failure domain that were not heard of for longest. */
-  private oldestNearPeers(count: number): PeerDaemon[] {
-    return this.nearPeers()
+  /** Live peers of the own failure domain, the least recently heard first. */
+  private leastRecentDomainPeers(count: number): PeerDaemon[] {
+    return this.liveDomainPeers()
       .sort((a, b) => a.aliveAt - b.aliveAt)
       .slice(0, count);
   }
 
   /** Live peers of the own failure domain. */
-  private nearPeers(): PeerDaemon[] {
+  private liveDomainPeers(): PeerDaemon[] {
     const {peers, clock} = this.options;
     const {failureDomain} = this.options.self();
     return peers
@@ -255,42 +257,42 @@
       .filter(peer => peer.failureDomain === failureDomain);
   }
 
-  /** Sends one beat to some peers; with `hello` each of them answers at once. */
+  /** Sends one heartbeat to several peers; with `hello` each replies at once. */
   private sendToAll(
     receivers: ReadonlyArray<Pick<PeerDaemon, 'address'>>,
     hello: boolean,
   ): void {
     if (receivers.length > 0) {
-      const beat = this.beat(hello);
-      receivers.forEach(({address}) => this.send(address, beat));
+      const heartbeat = this.createHeartbeat(hello);
+      receivers.forEach(({address}) => this.send(address, heartbeat));
     }
   }
 
-  /** Sends a beat to any daemon but this one, which may be among the seeds. */
-  private send(address: number, beat: Beat): void {
+  /** Sends a heartbeat, except to this daemon itself, which may be one of the seeds. */
+  private send(address: number, heartbeat: Beat): void {
     if (address !== this.options.self().address) {
-      this.options.channel.sendHeartbeat(address, beat);
+      this.options.channel.sendHeartbeat(address, heartbeat);
     }
   }
 
-  /** What this daemon tells now; a beat with `hello` is answered at once. */
-  private beat(hello: boolean): Beat {
-    const {catalog, peers, election: turns, reach, clock} = this.options;
+  /** Builds a heartbeat of the current state; with `hello` it asks for a reply. */
+  private createHeartbeat(hello: boolean): Beat {
+    const {catalog, peers, election, reach, clock} = this.options;
     const now = clock.now();
     const {stamp} = catalog;
     return {
       sender: this.options.self(),
       peers: peers.selectPeersToGossip(now),
       routeVersion: stamp.routeVersion,
-      routesAgeMs: ageOf(stamp.routesConfirmedAt, now),
+      routesAgeMs: encodeAge(stamp.routesConfirmedAt, now),
       serverRevision: stamp.serverRevision,
       serverDigest: stamp.serverDigest,
-      serversAgeMs: ageOf(stamp.serversConfirmedAt, now),
-      work: this.options.selectLoadToGossip(this.isLarge()),
+      serversAgeMs: encodeAge(stamp.serversConfirmedAt, now),
+      work: this.options.selectLoadToGossip(this.isLargeFleet()),
       hello,
-      reads: turns
+      reads: election
         .selectStatusesToGossip(now)
-        .map(mark => encodeReaderStatus(mark, now)),
+        .map(status => encodeReaderStatus(status, now)),
       reachAsks: [],
       reachVotes: [],
       reachNews: reach
@@ -298,125 +300,138 @@
         .map(({server, reached, at, startTime}) => ({
           server,
           reached,
-          ageMs: ageOf(at, now),
+          ageMs: encodeAge(at, now),
           startTime,
         })),
       unreadableDigest: catalog.unreadableDigest,
     };
   }
 
-  private onBeat(sender: number, beat: Beat): void {
+  private handleHeartbeat(sender: number, heartbeat: Beat): void {
     const {clock, peers} = this.options;
     const now = clock.now();
-    if (beat.sender !== undefined) {
-      this.noteSender(sender, beat.sender, beat.hello, now);
+    if (heartbeat.sender !== undefined) {
+      this.recordSender(sender, heartbeat.sender, heartbeat.hello, now);
     }
-    beat.peers.forEach(told => peers.merge(told, now));
-    this.options.onWork(sender, beat.work);
-    this.takeQuestions(sender, beat);
-    const gain = Math.max(
-      this.confirm(beat, now),
-      this.takeMarks(beat, now),
-      this.takeReachNews(beat, now),
+    heartbeat.peers.forEach(entry => peers.merge(entry, now));
+    this.options.onWork(sender, heartbeat.work);
+    this.handleReachabilityChecks(sender, heartbeat);
+    const gainMs = Math.max(
+      this.confirmCatalog(heartbeat, now),
+      this.mergeReaderStatuses(heartbeat, now),
+      this.mergeReachabilityFindings(heartbeat, now),
     );
-    this.seekCopy(beat);
-    void this.copies.pullRecords(sender, beat);
-    if (this.copies.isNewer(beat)) {
-      void this.copies.pullNewer(sender, beat);
-    } else if (gain > RELAY_GAIN_MS) {
+    this.bootstrapFrom(heartbeat);
+    void this.exchange.pullRecords(sender, heartbeat);
+    if (this.exchange.holdsNewer(heartbeat)) {
+      void this.exchange.pullNewer(sender, heartbeat);
+    } else if (gainMs > RELAY_THRESHOLD_MS) {
       this.relay();
     }
   }
 
-  private noteSender(
+  private recordSender(
     sender: number,
-    told: PeerAge,
+    entry: PeerAge,
     hello: boolean,
     now: number,
   ): void {
     const isNew = this.options.peers.merge(
-      {...told, address: sender, ageMs: 0},
+      {...entry, address: sender, ageMs: 0},
       now,
     );
     if (isNew) {
       this.options.log.info('peer-found', {
         peer: formatIpv4(sender),
-        failureDomain: told.failureDomain,
+        failureDomain: entry.failureDomain,
       });
     }
-    this.seekers.note(sender, told.hasCopy, now);
+    this.bootstrappingPeers.record(sender, entry.hasCopy, now);
     if (isNew || hello) {
-      this.answer(sender, told.hasCopy);
+      this.reply(sender, entry.hasCopy);
     }
   }
 
-  /** Beats back to a daemon that greets, or is new here. */
-  private answer(sender: number, hasCopy: boolean): void {
+  /** Replies to a peer that sent a ping or is new to the view. */
+  private reply(sender: number, hasCopy: boolean): void {
     if (hasCopy) {
-      this.send(sender, this.beat(false));
+      this.send(sender, this.createHeartbeat(false));
     } else {
-      this.sendToSeekers([sender]);
+      this.sendBootstrapHeartbeats([sender]);
     }
   }
 
-  /** Without a copy, asks a daemon that is said to have one, and tells others of it. */
-  private seekCopy(beat: Beat): void {
-    const having = [beat.sender, ...beat.peers].flatMap(told =>
-      told?.hasCopy === true ? [told.address] : [],
+  /**
+   * While this daemon has no catalog, pulls one from a daemon that the heartbeat says
+   * has one, and tells the other bootstrapping peers.
+   */
+  private bootstrapFrom(heartbeat: Beat): void {
+    const holders = [heartbeat.sender, ...heartbeat.peers].flatMap(entry =>
+      entry?.hasCopy === true ? [entry.address] : [],
     );
-    const giver = this.options.random.pick(having);
-    if (giver === undefined || this.options.self().hasCopy) {
+    const holder = this.options.random.pick(holders);
+    if (holder === undefined || this.options.self().hasCopy) {
       return;
     }
-    void this.copies.pullFirst(giver);
-    this.tellSeekers();
+    void this.exchange.pullFirst(holder);
+    this.scheduleBootstrapNotice();
   }
 
-  /** Tells those that have no copy who has one, a few times and not at once. */
-  private tellSeekers(): void {
+  /** Schedules a heartbeat to the bootstrapping peers, a limited number of times. */
+  private scheduleBootstrapNotice(): void {
     const {clock} = this.options;
     if (
-      this.seekerTimer === undefined &&
-      this.timesToldSeekers < TIMES_SEEKERS_TOLD
+      this.bootstrapNoticeTimer === undefined &&
+      this.bootstrapNotices < MAX_BOOTSTRAP_NOTICES
     ) {
-      this.timesToldSeekers += 1;
-      this.seekerTimer = clock.callAt(clock.now() + SEEKER_GAP_MS, () => {
-        this.seekerTimer = undefined;
-        this.sendToSeekers(this.seekers.all(clock.now()));
-      });
+      this.bootstrapNotices += 1;
+      this.bootstrapNoticeTimer = clock.callAt(
+        clock.now() + BOOTSTRAP_NOTICE_DELAY_MS,
+        () => {
+          this.bootstrapNoticeTimer = undefined;
+          this.sendBootstrapHeartbeats(
+            this.bootstrappingPeers.listRecent(clock.now()),
+          );
+        },
+      );
     }
   }
 
-  /** Tells those that have no copy, once, that this daemon has one now. */
-  private tellSeekersOfOwn(): void {
-    if (!this.hadCopy && this.options.self().hasCopy) {
-      this.hadCopy = true;
-      this.sendToSeekers(this.seekers.all(this.options.clock.now()));
+  /** Tells the bootstrapping peers, once, that this daemon now has a catalog. */
+  private announceFirstCopy(): void {
+    if (!this.hasAnnouncedCopy && this.options.self().hasCopy) {
+      this.hasAnnouncedCopy = true;
+      this.sendBootstrapHeartbeats(
+        this.bootstrappingPeers.listRecent(this.options.clock.now()),
+      );
     }
   }
 
-  /** Beats for daemons that have no copy. */
-  private sendToSeekers(addresses: readonly number[]): void {
+  /** Sends heartbeats whose peer list is chosen for daemons without a catalog. */
+  private sendBootstrapHeartbeats(addresses: readonly number[]): void {
     const {peers, clock} = this.options;
     if (addresses.length > 0) {
-      const told = peers.selectPeersForBootstrap(clock.now());
-      const beat = {...this.beat(false), peers: told};
-      addresses.forEach(address => this.send(address, beat));
+      const listed = peers.selectPeersForBootstrap(clock.now());
+      const heartbeat = {...this.createHeartbeat(false), peers: listed};
+      addresses.forEach(address => this.send(address, heartbeat));
     }
   }
 
-  /** Takes the ages of a beat; returns how much younger the reads became. */
-  private confirm(beat: Beat, now: number): number {
+  /**
+   * Confirms the held versions as of the reads that a heartbeat reports. Returns by how
+   * many milliseconds the newest confirmation advanced.
+   */
+  private confirmCatalog(heartbeat: Beat, now: number): number {
     const {catalog} = this.options;
     const before = catalog.stamp;
-    catalog.confirmRoutes(beat.routeVersion, now - beat.routesAgeMs);
+    catalog.confirmRoutes(heartbeat.routeVersion, now - heartbeat.routesAgeMs);
     catalog.confirmServers(
       {
-        revision: beat.serverRevision,
-        digest: beat.serverDigest,
-        routeVersion: beat.routeVersion,
+        revision: heartbeat.serverRevision,
+        digest: heartbeat.serverDigest,
+        routeVersion: heartbeat.routeVersion,
       },
-      now - beat.serversAgeMs,
+      now - heartbeat.serversAgeMs,
     );
     const after = catalog.stamp;
     return Math.max(
@@ -425,11 +440,11 @@
     );
   }
 
-  /** Takes what a peer wants tried, and what it tried itself. */
-  private takeQuestions(sender: number, beat: Beat): void {
+  /** Handles requests for reachability checks, and the results of own requests. */
+  private handleReachabilityChecks(sender: number, heartbeat: Beat): void {
     const {reach} = this.options;
-    beat.reachAsks.forEach(server => void reach.onAsk(sender, server));
-    beat.reachVotes.forEach(({server, reached}) =>
+    heartbeat.reachAsks.forEach(server => void reach.onAsk(sender, server));
+    heartbeat.reachVotes.forEach(({server, reached}) =>
       reach.onVote(
         sender,
         server,
@@ -438,34 +453,34 @@
     );
   }
 
-  /** Takes findings on servers; Infinity if one of them is news. */
-  private takeReachNews(beat: Beat, now: number): number {
+  /** Merges findings on servers; returns Infinity if one is new, else 0. */
+  private mergeReachabilityFindings(heartbeat: Beat, now: number): number {
     const {reach} = this.options;
-    const news = beat.reachNews.filter(({ageMs, ...finding}) =>
+    const changes = heartbeat.reachNews.filter(({ageMs, ...finding}) =>
       reach.hear({...finding, at: now - ageMs}),
     );
-    return news.length > 0 ? Infinity : 0;
+    return changes.length > 0 ? Infinity : 0;
   }
 
-  /** Takes what a beat says of readers; returns what is the greatest news of it. */
-  private takeMarks(beat: Beat, now: number): number {
-    const {election: turns} = this.options;
-    const gains = beat.reads
-      .map(mark => decodeReaderStatus(mark, now))
-      .map(mark => turns.hear(mark, now));
+  /** Merges reader statuses; returns the largest gain, as of `ReaderStatuses.merge`. */
+  private mergeReaderStatuses(heartbeat: Beat, now: number): number {
+    const {election} = this.options;
+    const gains = heartbeat.reads
+      .map(status => decodeReaderStatus(status, now))
+      .map(status => election.mergePeerStatus(status, now));
     if (gains.includes(Infinity)) {
       this.options.onElectionChange();
     }
     return Math.max(0, ...gains);
   }
 
-  /** Passes news on, where beats do not reach everyone by themselves. */
+  /** Relays changes in a large fleet, where a heartbeat does not reach every peer. */
   private relay(): void {
-    if (!this.isLarge() || this.relayTimer !== undefined) {
+    if (!this.isLargeFleet() || this.relayTimer !== undefined) {
       return;
     }
     const {clock} = this.options;
-    const wait = this.relayedAt + RELAY_GAP_MS - clock.now();
+    const wait = this.relayedAt + MIN_RELAY_INTERVAL_MS - clock.now();
     if (wait <= 0) {
       this.relayNow();
       return;
@@ -481,11 +496,11 @@
     this.announce();
   }
 
-  private isLarge(): boolean {
-    return this.livePeers() > MESH_LIMIT;
+  private isLargeFleet(): boolean {
+    return this.countLivePeers() > MAX_FULL_MESH_PEERS;
   }
 
-  private livePeers(): number {
+  private countLivePeers(): number {
     const {peers, clock} = this.options;
     return peers.live(clock.now()).length;
   }
--- a/src/catalog/catalog-messages.ts
+++ b/src/catalog/catalog-messages.ts
@@ -22,16 +22,16 @@
 import type {KnownRoute} from './route-table.js';
 
 /** Longer spans are sent as this: one hour, in milliseconds. */
-const LONGEST_SPAN_MS = 3_600_000;
+const MAX_DURATION_MS = 3_600_000;
 
 /** Milliseconds since `at`, as they are sent. */
-export function ageOf(at: number, now: number): number {
-  return spanBetween(at, now);
+export function encodeAge(at: number, now: number): number {
+  return encodeDuration(at, now);
 }
 
 /** Milliseconds from one time to a later one, as they are sent; 0 if it is not later. */
-function spanBetween(from: number, to: number): number {
-  return Math.round(Math.min(LONGEST_SPAN_MS, Math.max(0, to - from)));
+function encodeDuration(from: number, to: number): number {
+  return Math.round(Math.min(MAX_DURATION_MS, Math.max(0, to - from)));
 }
 
 /** A reader's mark, with its time as an age. */
@@ -40,7 +40,7 @@
   now: number,
 ): ReadMarkMessage {
   const {reader, failureDomain, capacity, state, at} = mark;
-  return {reader, failureDomain, capacity, state, ageMs: ageOf(at, now)};
+  return {reader, failureDomain, capacity, state, ageMs: encodeAge(at, now)};
 }
 
 /** The inverse of `encodeMark`. */
@@ -53,7 +53,7 @@
 }
 
 /** The versions of a daemon that has no copy; it is nobody's asker. */
-const NOTHING_HELD: HeldVersions = {
+const NO_VERSIONS: HeldVersions = {
   asker: 0,
   routeVersion: 0,
   serverRevision: 0,
@@ -72,10 +72,10 @@
   return {
     routes:
       stamp.routeVersion > held.routeVersion
-        ? encodeRoutes(catalog, now)
+        ? encodeRouteList(catalog, now)
         : undefined,
     servers: lacksServers
-      ? encodeServers(catalog, held.serverRevision, now)
+      ? encodeServerList(catalog, held.serverRevision, now)
       : undefined,
     other: 0,
     waitMs: 0,
@@ -89,16 +89,16 @@
   now: number,
 ): void {
   if (update.routes !== undefined) {
-    applyRoutes(catalog, update.routes, now);
+    applyRouteList(catalog, update.routes, now);
   }
   if (update.servers !== undefined) {
-    applyServers(catalog, update.servers, now);
+    applyServerList(catalog, update.servers, now);
   }
 }
 
 /** All that a catalog holds, for daemons that start. */
 export function encodeSnapshot(catalog: Catalog, now: number): Uint8Array {
-  return CatalogUpdate.encode(updateFor(catalog, NOTHING_HELD, now)).finish();
+  return CatalogUpdate.encode(updateFor(catalog, NO_VERSIONS, now)).finish();
 }
 
 /** The inverse of `encodeWhole`; the error is the cause as text. */
@@ -113,16 +113,20 @@
     routes === undefined || servers?.whole !== true
       ? err('no whole copy')
       : ok({
-          routes: decodeRoutes(routes),
-          servers: decodeListing(servers, now),
+          routes: decodeRouteList(routes),
+          servers: decodeServerList(servers, now),
         }),
   );
 }
 
-function applyServers(catalog: Catalog, list: ServerList, now: number): void {
+function applyServerList(
+  catalog: Catalog,
+  list: ServerList,
+  now: number,
+): void {
   const {removed, revision, evacuated, whole} = list;
   const confirmedAt = now - list.ageMs;
-  const listing = decodeListing(list, now);
+  const listing = decodeServerList(list, now);
   if (whole) {
     catalog.takeServers(listing, confirmedAt);
   } else {
@@ -132,18 +136,18 @@
   }
 }
 
-function applyRoutes(catalog: Catalog, list: RouteList, now: number): void {
-  catalog.takeRoutes(decodeRoutes(list), now - list.ageMs);
+function applyRouteList(catalog: Catalog, list: RouteList, now: number): void {
+  catalog.takeRoutes(decodeRouteList(list), now - list.ageMs);
 }
 
-function decodeListing(list: ServerList, now: number): ServerListing {
+function decodeServerList(list: ServerList, now: number): ServerListing {
   const {revision, evacuated} = list;
   const servers = list.servers.map(entry => decodeServer(entry, now));
   const unreadable = list.unreadable.map(entry => ({...entry, cause: ''}));
   return {revision, servers, unreadable, evacuated};
 }
 
-function decodeRoutes(list: RouteList): RouteListing {
+function decodeRouteList(list: RouteList): RouteListing {
   const {version, coldServices} = list;
   const routes = list.routes.map(decodeRoute);
   // A configuration names some service, so none means that they were not told.
@@ -151,11 +155,11 @@
   return {version, routes, coldServices, services};
 }
 
-function encodeRoutes(catalog: Catalog, now: number): RouteList {
+function encodeRouteList(catalog: Catalog, now: number): RouteList {
   const {routeVersion, routesConfirmedAt} = catalog.stamp;
   return {
     version: routeVersion,
-    ageMs: ageOf(routesConfirmedAt, now),
+    ageMs: encodeAge(routesConfirmedAt, now),
     routes: catalog.allRoutes().map(encodeRoute),
     coldServices: [...catalog.coldServices()],
     services: [...(catalog.serviceNames() ?? [])],
@@ -171,8 +175,8 @@
     repeatable,
     regions: [...regions],
     priority,
-    targetMs: encodeSpan(route.targetMs),
-    limitMs: encodeSpan(route.limitMs),
+    targetMs: encodeOptionalDuration(route.targetMs),
+    limitMs: encodeOptionalDuration(route.limitMs),
   };
 }
 
@@ -180,22 +184,22 @@
 function decodeRoute(entry: RouteEntry): CatalogRoute {
   return {
     ...entry,
-    targetMs: decodeSpan(entry.targetMs),
-    limitMs: decodeSpan(entry.limitMs),
+    targetMs: decodeOptionalDuration(entry.targetMs),
+    limitMs: decodeOptionalDuration(entry.limitMs),
   };
 }
 
 /** A span that may be unbounded, as it is sent: 0 stands for none. */
-function encodeSpan(span: number): number {
+function encodeOptionalDuration(span: number): number {
   return span === Infinity ? 0 : Math.round(span);
 }
 
-function decodeSpan(span: number): number {
+function decodeOptionalDuration(span: number): number {
   return span === 0 ? Infinity : span;
 }
 
 /** The changes since a revision, or the whole list where they are not known. */
-function encodeServers(
+function encodeServerList(
   catalog: Catalog,
   since: number,
   now: number,
@@ -206,7 +210,7 @@
   const unreadable = changes?.unreadable ?? catalog.unreadableEntries();
   return {
     revision: serverRevision,
-    ageMs: ageOf(serversConfirmedAt, now),
+    ageMs: encodeAge(serversConfirmedAt, now),
     servers: servers.map(server => encodeServer(server, now)),
     whole: changes === undefined,
     removed: [...(changes?.removed ?? [])],
@@ -227,7 +231,7 @@
     failureDomain,
     slots,
     draining: server.state === ServerState.DRAINING,
-    coldMs: spanBetween(now, server.coldUntil),
+    coldMs: encodeDuration(now, server.coldUntil),
     createdRevision,
     revision,
     startTime,
--- a/src/catalog/catalog-reader.ts
+++ b/src/catalog/catalog-reader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads routes and servers from the source. The daemons whose turn it is wait for
- * events there all the time and tell all others; one that hears of nobody reads
- * alone, and one whose copy was not confirmed for long reads whoever else does.
+ * Reads routes and servers from the source. The elected readers watch it continuously
+ * and gossip what they read. A daemon without live peers reads by itself, and so does
+ * one whose catalog has not been confirmed for too long.
  */
 import type {Result} from 'neverthrow';
 import {
@@ -20,71 +20,52 @@
 import type {CatalogEvents} from './records.js';
 
 /**
- * Length of one wait for events: a share of the limit for a version to be in force,
- * and the most, in milliseconds. It bounds the time for which a connection that lost
- * its other end goes unnoticed.
+ * Length of one wait for events, as a fraction of the propagation limit, and its
+ * maximum. It bounds how long a half-open connection goes unnoticed.
  */
-const EVENT_WAIT_SHARE = 1 / 2;
-const LONGEST_EVENT_WAIT_MS = 1_500;
+const EVENT_WAIT_FRACTION = 1 / 2;
+const MAX_EVENT_WAIT_MS = 1_500;
 /**
- * Age of the copy at which a daemon reads although others do, in milliseconds, if
- * the limit for a version to be in force is not longer; up to half as much is added
- * by chance. Its peers' news does not reach it.
+ * Age at which an unconfirmed catalog is read from the source although there are
+ * readers, unless the propagation limit is longer. Up to half of it is added as jitter.
  */
-const LONGEST_UNCONFIRMED_MS = 3_500;
+const MIN_CONFIRMATION_TIMEOUT_MS = 3_500;
+/** Deadline of a full read; a slow store or link takes seconds for a large catalog. */
+const READ_TIMEOUT_MS = 10_000;
+/** Delay after the first failed read; it doubles with each further one. */
+const INITIAL_RETRY_DELAY_MS = 200;
+const MAX_RETRY_DELAY_MS = 1_200;
+/** Window over which first reads are spread when the fleet starts for the first time. */
+const FIRST_START_WINDOW_MS = 3_000;
 /**
- * Deadline of a read of everything, in milliseconds: a store that answers in 300 ms
- * gives ten pages in 3 s, and 2,800 routes take a link of 2 Mbit/s some 3 s. A source that is
- * silent ends the read earlier.
+ * Head start that peers get over a starting daemon's own first read: a minimum, and the
+ * time in which its link carries some kilobits. A peer's copy of the catalog is a
+ * fraction of the size of the source's answer.
  */
-const READ_LIMIT_MS = 10_000;
-/** First pause after a failed read, in milliseconds; doubles up to the longest. */
-const RETRY_MS = 200;
-const LONGEST_RETRY_MS = 1_200;
+const MIN_PEER_HEAD_START_MS = 10;
+const PEER_HEAD_START_KILOBITS = 1_000;
+/** Limits the head start: it is lost time if no peer has a catalog either. */
+const MAX_PEER_HEAD_START_MS = 60;
+/** How much longer the first read is put off while a pull from a peer is in progress. */
+const PULL_GRACE_MS = 200;
 /**
- * Time over which daemons take turns to read when the fleet starts for the first time,
- * in milliseconds: callers come seconds later, and what one reads all others pull.
+ * Deadline of the snapshot read, and how long pulls from peers wait for it or for
+ * another stale read.
  */
-const FIRST_TURNS_MS = 3_000;
+const SNAPSHOT_TIMEOUT_MS = 100;
+/** Pause after the first read, in which peers bring the catalog up to date. */
+const FIRST_READ_PAUSE_MS = 500;
+/** Pause after other reads, so that a burst of events takes few calls. */
+const EVENT_BATCH_MS = 200;
 /**
- * Head start of the peers' answers over a starting daemon's own read: in milliseconds,
- * a few round trips between failure domains and the peer's work; on a slow link the
- * time that this many kilobits take there. An answer of the store with 1,400 routes is
- * 300 kB, a peer's copy of the same 55 kB; and when all start at once, ample daemons
- * have their copies from the store before others are there. It is short, since all
- * daemons lose it when nobody has a copy.
+ * Pause after a read and length of a wait for events, as fractions of the propagation
+ * limit, for a daemon without live peers. They bound the load on the source when a
+ * partition isolates many daemons.
  */
-const PEER_HEAD_START_MS = 10;
-const HEAD_START_KILOBITS = 1_000;
-/**
- * Longest head start, in milliseconds: ample daemons are there before slow ones. A fleet
- * that has none waits in vain; with 0.5 s in place of 60 ms, on links of 2 Mbit/s, 213 of
- * 340 requests were late in the two seconds around the loss of all, not 147 of them.
- */
-const LONGEST_HEAD_START_MS = 60;
-/** Longest wait for a pull that is under way, in milliseconds. */
-const PULL_PATIENCE_MS = 200;
-/**
- * Time after which a starting daemon asks its peers besides the source for a copy, in
- * milliseconds: 25 usual answers of the source.
- */
-const COPY_PATIENCE_MS = 100;
-/**
- * Pause after the old copy that a daemon starts with, in milliseconds. Peers bring the
- * copy up to date meanwhile; one that hears of nobody then reads by itself.
- */
-const START_PAUSE_MS = 500;
-/** Time in which events are gathered before the next wait, in milliseconds. */
-const GATHER_MS = 200;
-/**
- * Shares of the limit for a version to be in force. A daemon that hears of nobody
- * pauses after a read for the first, and waits for events for the second: as many
- * daemons as a cut divides a fleet into all read by themselves.
- */
-const LONELY_PAUSE_SHARE = 1 / 2;
-const LONELY_WAIT_SHARE = 1 / 4;
+const ISOLATED_PAUSE_FRACTION = 1 / 2;
+const ISOLATED_WAIT_FRACTION = 1 / 4;
 
-/** What a reader is made from. */
+/** Dependencies and settings of `CatalogReader`. */
 export interface CatalogReaderOptions {
   readonly catalog: Catalog;
   readonly source: CatalogSource;
@@ -92,68 +73,68 @@
   readonly log: Log;
   readonly random: Random;
   readonly election: ReaderElection;
-  /** Whether the whole fleet starts for the first time. */
+  /** Whether the whole fleet is being started for the first time. */
   readonly isFirstStart: boolean;
-  /** What the instance's link carries, in megabits a second. */
+  /** Bandwidth of the instance's link, in megabits per second. */
   readonly linkMbps: number;
-  /** Time in which a version has to be in force everywhere, in milliseconds. */
+  /** Propagation limit: time by which all daemons must use a published version. */
   readonly inForceLimitMs: number;
-  /** Whether this daemon hears of no other one. */
+  /** Returns whether no peer is live. */
   isAlone(): boolean;
-  /** Whether a peer is being asked for its copy. */
+  /** Returns whether a catalog pull from a peer is in progress. */
   isPulling(): boolean;
-  /** Tells the peers at once what the turns and the copy are now. */
+  /** Sends the reader statuses and catalog versions to the peers at once. */
   announce(): void;
 }
 
-/** The reading task of one daemon. */
+/** Schedules and runs one daemon's reads of the source. */
 export class CatalogReader {
   private stopped = false;
-  /** The next read takes everything, since events may have been missed. */
-  private needsWhole = false;
-  private failures = 0;
-  /** Whether this daemon waits for events all the time. */
-  private waitsAtSource = false;
-  /** For how long the copy may stay unconfirmed, in milliseconds. */
-  private patienceMs = 0;
+  /** Whether the next read must be a full one because events may have been missed. */
+  private needsFullRead = false;
+  private consecutiveFailures = 0;
+  /** Whether this daemon was an elected reader when last checked. */
+  private wasReader = false;
+  /** How long the catalog may stay unconfirmed, jitter included. */
+  private confirmationTimeoutMs = 0;
   private timer: Timer | undefined;
-  /** Ends the sleep that is under way. */
+  /** Interrupts the current sleep, which then recomputes its deadline. */
   private wake: () => void = () => undefined;
-  /** When the first read is due if no peer answers; monotonic milliseconds. */
+  /** When the first read is due if no peer provides a catalog; monotonic milliseconds. */
   private readonly firstReadAt: number;
-  /** Whether an old copy is good enough for the first read. */
-  private startsFromOld: boolean;
-  /** When the old copy was asked for that has not come yet; monotonic milliseconds. */
-  private oldReadSentAt: number | undefined;
+  /** Whether the first read may be a stale one. */
+  private startsFromStale: boolean;
+  /** When the pending stale read was sent; monotonic milliseconds. */
+  private staleReadSentAt: number | undefined;
   /** Monotonic milliseconds. */
   private readonly startedAt: number;
-  /** When a read last succeeded; monotonic milliseconds. */
-  private readAt = -Infinity;
+  /** When the last read succeeded; monotonic milliseconds. */
+  private lastReadAt = -Infinity;
 
-  private readonly firstCopy: SnapshotReader;
-  private readonly keeper: SnapshotWriter;
+  private readonly snapshotReader: SnapshotReader;
+  private readonly snapshotWriter: SnapshotWriter;
 
   private constructor(private readonly options: CatalogReaderOptions) {
-    const {clock, election: turns, isFirstStart, linkMbps} = options;
-    this.firstCopy = SnapshotReader.create(options);
-    this.keeper = SnapshotWriter.create(options);
+    const {clock, election, isFirstStart, linkMbps} = options;
+    this.snapshotReader = SnapshotReader.create(options);
+    this.snapshotWriter = SnapshotWriter.create(options);
     const wait = isFirstStart
-      ? FIRST_TURNS_MS * turns.place
-      : headStartOf(linkMbps);
+      ? FIRST_START_WINDOW_MS * election.position
+      : computePeerHeadStartMs(linkMbps);
     this.startedAt = clock.now();
     this.firstReadAt = this.startedAt + wait;
-    this.startsFromOld = !isFirstStart;
-    this.drawPatience();
+    this.startsFromStale = !isFirstStart;
+    this.resetConfirmationTimeout();
   }
 
-  /** Creates a reader that does nothing until started. */
+  /** Creates a reader that is idle until started. */
   static create(options: CatalogReaderOptions): CatalogReader {
     return new CatalogReader(options);
   }
 
-  /** Starts to read; the returned function stops it. */
+  /** Starts reading; the returned function stops it and closes the source. */
   start(): () => void {
-    void this.readOn();
+    void this.run();
     return () => {
       this.stopped = true;
       this.timer?.cancel();
@@ -162,154 +143,156 @@
   }
 
   /**
-   * Until when a first copy is expected from the source; monotonic milliseconds. The
-   * same copy from a peer costs a starting daemon more than it gains.
+   * Until when a pending stale read is expected to answer, in monotonic milliseconds;
+   * -Infinity if there is none. A pull from a peer meanwhile would compete for the link.
    */
   get snapshotExpectedUntil(): number {
-    return this.oldReadSentAt === undefined
+    return this.staleReadSentAt === undefined
       ? -Infinity
-      : this.oldReadSentAt + COPY_PATIENCE_MS;
+      : this.staleReadSentAt + SNAPSHOT_TIMEOUT_MS;
   }
 
-  /** Works out anew when to read: there is news of those that do. */
+  /** Recomputes when to read, after the reader statuses have changed. */
   lookAgain(): void {
     this.wake();
   }
 
-  /** Reads for as long as the daemon runs. */
-  private async readOn(): Promise<void> {
-    if (this.startsFromOld && this.firstCopy.isWorthwhile) {
-      await this.startFromKept();
+  private async run(): Promise<void> {
+    if (this.startsFromStale && this.snapshotReader.isPreferred) {
+      await this.startFromSnapshot();
     }
     while (!this.stopped) {
-      await this.sleepUntil(() => this.nextRead());
+      await this.sleepUntil(() => this.computeNextReadAt());
       const isFirst = this.options.catalog.stamp.serverRevision === 0;
-      this.noteAttempt();
+      this.announceAttempt();
       const failure = await this.readOnce();
       if (failure === undefined) {
-        this.noteSuccess(isFirst);
-        await this.keepCopy(isFirst);
+        this.recordSuccess(isFirst);
+        await this.writeSnapshot(isFirst);
         await this.pauseAfterRead(isFirst);
       } else if (!this.stopped) {
-        await this.pauseAfter(failure);
+        await this.handleFailure(failure);
       }
     }
   }
 
-  /** Takes the kept copy, if there is one; it is an old copy like any other. */
-  private async startFromKept(): Promise<void> {
+  /** Starts from the stored snapshot, if there is one that can be read. */
+  private async startFromSnapshot(): Promise<void> {
     const {catalog, clock} = this.options;
     const sentAt = clock.now();
-    this.oldReadSentAt = sentAt;
-    const kept = await this.firstCopy.read(sentAt + COPY_PATIENCE_MS);
-    this.oldReadSentAt = undefined;
-    const reading = kept.unwrapOr(undefined);
+    this.staleReadSentAt = sentAt;
+    const snapshot = await this.snapshotReader.read(
+      sentAt + SNAPSHOT_TIMEOUT_MS,
+    );
+    this.staleReadSentAt = undefined;
+    const reading = snapshot.unwrapOr(undefined);
     if (reading !== undefined && !this.stopped) {
       catalog.takeOld(reading, sentAt);
-      this.startsFromOld = false;
-      this.noteSuccess(true);
+      this.startsFromStale = false;
+      this.recordSuccess(true);
       await this.pauseAfterRead(true);
     }
   }
 
-  /** When this daemon has to read, in monotonic milliseconds. */
-  private nextRead(): number {
-    const {catalog, clock, election: turns} = this.options;
+  /** Returns when to read next, in monotonic milliseconds; -Infinity: now. */
+  private computeNextReadAt(): number {
+    const {catalog, clock, election} = this.options;
     if (catalog.stamp.serverRevision === 0) {
       return this.options.isPulling()
-        ? this.firstReadAt + PULL_PATIENCE_MS
+        ? this.firstReadAt + PULL_GRACE_MS
         : this.firstReadAt;
     }
     const now = clock.now();
-    this.noteTurn(now);
-    return turns.isReader(now) || this.options.isAlone()
+    this.logReaderChange(now);
+    return election.isReader(now) || this.options.isAlone()
       ? -Infinity
-      : Math.min(turns.due(now), this.unconfirmedUntil);
+      : Math.min(election.nextCandidacyAt(now), this.confirmationDueAt);
   }
 
-  /** Draws anew for how long the copy may stay unconfirmed. */
-  private drawPatience(): void {
+  private resetConfirmationTimeout(): void {
     const {inForceLimitMs, random} = this.options;
-    const longest = Math.max(LONGEST_UNCONFIRMED_MS, inForceLimitMs);
-    this.patienceMs = longest * (1 + random.next() / 2);
+    const timeoutMs = Math.max(MIN_CONFIRMATION_TIMEOUT_MS, inForceLimitMs);
+    this.confirmationTimeoutMs = timeoutMs * (1 + random.next() / 2);
   }
 
   /**
-   * Until when the copy may do without being confirmed; monotonic milliseconds. While
-   * others are heard to try in vain, their success would be heard of too.
+   * When the catalog has to be confirmed by an own read; monotonic milliseconds. A read
+   * that another daemon attempted puts it off, since its success would be gossiped.
    */
-  private get unconfirmedUntil(): number {
-    const {catalog, clock, election: turns} = this.options;
+  private get confirmationDueAt(): number {
+    const {catalog, clock, election} = this.options;
     const {routesConfirmedAt, serversConfirmedAt} = catalog.stamp;
-    // While nothing is published, there are no routes to be confirmed.
+    // Before the first routes are published, only servers can be confirmed.
     const confirmedAt = catalog.isComplete
       ? Math.min(routesConfirmedAt, serversConfirmedAt)
       : serversConfirmedAt;
-    const triedAt = turns.lastTryAt(clock.now());
-    const since = Math.max(this.startedAt, this.readAt);
-    return Math.max(confirmedAt, triedAt, since) + this.patienceMs;
+    const triedAt = election.lastAttemptAt(clock.now());
+    const since = Math.max(this.startedAt, this.lastReadAt);
+    return Math.max(confirmedAt, triedAt, since) + this.confirmationTimeoutMs;
   }
 
-  /** Logs when this daemon takes up, or gives up, waiting at the source for all. */
-  private noteTurn(now: number): void {
-    const {election: turns, log} = this.options;
-    const waits = turns.isReader(now);
-    if (waits !== this.waitsAtSource) {
-      this.waitsAtSource = waits;
-      log.info('reader-changed', {waits, readers: turns.readerCount(now)});
+  /** Logs when this daemon becomes an elected reader or ceases to be one. */
+  private logReaderChange(now: number): void {
+    const {election, log} = this.options;
+    const waits = election.isReader(now);
+    if (waits !== this.wasReader) {
+      this.wasReader = waits;
+      log.info('reader-changed', {waits, readers: election.countReaders(now)});
     }
   }
 
-  /** An attempt of a daemon that is no reader is told, so that others hold back. */
-  private noteAttempt(): void {
-    const {catalog, clock, election: turns} = this.options;
+  /** Announces a read by a daemon that is not a reader, so that others hold back. */
+  private announceAttempt(): void {
+    const {catalog, clock, election} = this.options;
     const now = clock.now();
-    if (catalog.stamp.serverRevision > 0 && !turns.isReader(now)) {
-      turns.noteTry(now);
+    if (catalog.stamp.serverRevision > 0 && !election.isReader(now)) {
+      election.recordAttempt(now);
       this.options.announce();
     }
   }
 
-  /** How long the next call waits for events, in milliseconds. */
-  private waitMs(now: number): number {
-    const {inForceLimitMs, election: turns} = this.options;
+  /** Returns how long the next call waits for events; 0: it returns at once. */
+  private eventWaitMs(now: number): number {
+    const {inForceLimitMs, election} = this.options;
     if (this.options.isAlone()) {
-      return inForceLimitMs * LONELY_WAIT_SHARE;
+      return inForceLimitMs * ISOLATED_WAIT_FRACTION;
     }
-    return turns.isReader(now)
-      ? Math.min(LONGEST_EVENT_WAIT_MS, inForceLimitMs * EVENT_WAIT_SHARE)
+    return election.isReader(now)
+      ? Math.min(MAX_EVENT_WAIT_MS, inForceLimitMs * EVENT_WAIT_FRACTION)
       : 0;
   }
 
   private async readOnce(): Promise<SourceFailure | undefined> {
     const {catalog, clock} = this.options;
     const sentAt = clock.now();
-    if (catalog.stamp.serverRevision === 0 && this.startsFromOld) {
-      return this.readOld(sentAt);
+    if (catalog.stamp.serverRevision === 0 && this.startsFromStale) {
+      return this.readStaleCatalog(sentAt);
     }
-    if (this.needsWhole || catalog.stamp.serverRevision === 0) {
+    if (this.needsFullRead || catalog.stamp.serverRevision === 0) {
       return this.readAll(sentAt);
     }
     const events = await this.awaitEvents(sentAt);
     return events.match(
-      taken => this.takeEvents(taken, sentAt),
+      reported => this.applyEvents(reported, sentAt),
       failure => failure,
     );
   }
 
   /**
-   * Reads what a daemon starts with. All daemons of a fleet may start at once, and an
-   * old copy costs a tenth; one of them, or peers that kept running, bring the news.
+   * Reads the initial catalog as a stale read, which costs the store a tenth of a
+   * full one: all daemons may start at once. Later reads or peers bring it up to date.
    */
-  private async readOld(sentAt: number): Promise<SourceFailure | undefined> {
+  private async readStaleCatalog(
+    sentAt: number,
+  ): Promise<SourceFailure | undefined> {
     const {catalog, source} = this.options;
-    this.oldReadSentAt = sentAt;
-    const reading = await source.readStale(sentAt + READ_LIMIT_MS);
-    this.oldReadSentAt = undefined;
+    this.staleReadSentAt = sentAt;
+    const reading = await source.readStale(sentAt + READ_TIMEOUT_MS);
+    this.staleReadSentAt = undefined;
     return reading.match(
       read => {
         catalog.takeOld(read, sentAt);
-        this.startsFromOld = false;
+        this.startsFromStale = false;
         return undefined;
       },
       failure => failure,
@@ -317,9 +300,9 @@
   }
 
   private async readAll(sentAt: number): Promise<SourceFailure | undefined> {
-    const reading = await this.options.source.readAll(sentAt + READ_LIMIT_MS);
+    const reading = await this.options.source.readAll(sentAt + READ_TIMEOUT_MS);
     return reading.match(
-      read => this.takeAll(read, sentAt),
+      read => this.applyReading(read, sentAt),
       failure => failure,
     );
   }
@@ -328,33 +311,33 @@
     sentAt: number,
   ): Promise<Result<CatalogEvents, SourceFailure>> {
     const {catalog, source} = this.options;
-    const deadline = sentAt + this.waitMs(sentAt);
+    const deadline = sentAt + this.eventWaitMs(sentAt);
     const {serverRevision} = catalog.stamp;
     return Promise.resolve(source.awaitEvents(serverRevision, deadline));
   }
 
-  private takeAll(reading: CatalogReading, sentAt: number): undefined {
+  private applyReading(reading: CatalogReading, sentAt: number): undefined {
     const {catalog} = this.options;
     if (reading.routes !== undefined) {
       catalog.takeRoutes(reading.routes, sentAt);
     }
     catalog.takeServers(reading.servers, sentAt);
-    this.needsWhole = false;
+    this.needsFullRead = false;
   }
 
   /**
-   * A wait that ended without events confirms the copy as of its start. The
-   * revision that it ended with is not taken, so that an event which it failed
-   * to show is still ahead of the next wait.
+   * Applies the result of a wait. One without events confirms the catalog as of its
+   * start, and its end revision is not adopted: if it missed an event, the next wait
+   * still returns that event.
    */
-  private takeEvents(events: CatalogEvents, sentAt: number): undefined {
+  private applyEvents(events: CatalogEvents, sentAt: number): undefined {
     const {catalog, clock} = this.options;
     const {routes, written, unreadable = [], removed, domains} = events;
     const isEmpty =
       routes === undefined &&
       events.snapshotRevision === undefined &&
       [written, unreadable, removed, domains].every(({length}) => length === 0);
-    this.keeper.noteWritten(events.snapshotRevision ?? 0);
+    this.snapshotWriter.recordWrite(events.snapshotRevision ?? 0);
     if (isEmpty) {
       catalog.confirmAll(sentAt);
     } else {
@@ -362,56 +345,56 @@
     }
   }
 
-  /** A first read makes no reader: all daemons may start at once. */
-  private noteSuccess(isFirst: boolean): void {
-    const {log, clock, election: turns} = this.options;
-    if (this.failures > 0) {
-      log.warn('source-regained', {failures: this.failures});
+  /** A first read makes no daemon a reader: all of them may start at once. */
+  private recordSuccess(isFirst: boolean): void {
+    const {log, clock, election} = this.options;
+    if (this.consecutiveFailures > 0) {
+      log.warn('source-regained', {failures: this.consecutiveFailures});
     }
-    this.failures = 0;
-    this.readAt = clock.now();
-    this.drawPatience();
+    this.consecutiveFailures = 0;
+    this.lastReadAt = clock.now();
+    this.resetConfirmationTimeout();
     if (!isFirst) {
-      turns.noteRead(clock.now());
+      election.recordSuccess(clock.now());
     }
     this.options.announce();
   }
 
-  /** The first of the daemons that wait for events keeps a copy at the source. */
-  private async keepCopy(isFirst: boolean): Promise<void> {
-    const {election: turns, clock} = this.options;
-    if (!isFirst && turns.isFirstReader(clock.now())) {
-      await this.keeper.write();
+  /** The first reader stores a snapshot at the source. */
+  private async writeSnapshot(isFirst: boolean): Promise<void> {
+    const {election, clock} = this.options;
+    if (!isFirst && election.isFirstReader(clock.now())) {
+      await this.snapshotWriter.write();
     }
   }
 
-  private async pauseAfter(failure: SourceFailure): Promise<void> {
-    const {clock, log, random, election: turns} = this.options;
-    this.needsWhole = true;
+  private async handleFailure(failure: SourceFailure): Promise<void> {
+    const {clock, log, random, election} = this.options;
+    this.needsFullRead = true;
     const fields = {kind: failure.kind, cause: failure.message};
     if (failure.kind === SourceFailureKind.HISTORY_LOST) {
       log.info('source-history-lost', fields);
       return;
     }
-    this.failures += 1;
-    this.drawPatience();
-    turns.noteFailure(clock.now());
+    this.consecutiveFailures += 1;
+    this.resetConfirmationTimeout();
+    election.recordFailure(clock.now());
     this.options.announce();
     log.warn(
-      this.failures === 1 ? 'source-lost' : 'source-read-failed',
+      this.consecutiveFailures === 1 ? 'source-lost' : 'source-read-failed',
       fields,
     );
-    const until = clock.now() + this.retryPause() * (0.5 + random.next());
+    const until = clock.now() + this.retryDelayMs() * (0.5 + random.next());
     await this.sleepUntil(() => until);
   }
 
-  /** Pause after a failed read, in milliseconds; with peers the turns decide too. */
-  private retryPause(): number {
-    const doubled = RETRY_MS * 2 ** Math.min(10, this.failures - 1);
-    return Math.min(doubled, LONGEST_RETRY_MS);
+  /** Returns the delay after a failed read; the election may add to it. */
+  private retryDelayMs(): number {
+    const doubled =
+      INITIAL_RETRY_DELAY_MS * 2 ** Math.min(10, this.consecutiveFailures - 1);
+    return Math.min(doubled, MAX_RETRY_DELAY_MS);
   }
 
-  /** Lets events come together, so that a burst of them takes few calls. */
   private async pauseAfterRead(isFirst: boolean): Promise<void> {
     const until = this.options.clock.now() + this.pauseMs(isFirst);
     await this.sleepUntil(() => until);
@@ -419,14 +402,14 @@
 
   private pauseMs(isFirst: boolean): number {
     if (isFirst) {
-      return START_PAUSE_MS;
+      return FIRST_READ_PAUSE_MS;
     }
     return this.options.isAlone()
-      ? this.options.inForceLimitMs * LONELY_PAUSE_SHARE
-      : GATHER_MS;
+      ? this.options.inForceLimitMs * ISOLATED_PAUSE_FRACTION
+      : EVENT_BATCH_MS;
   }
 
-  /** Sleeps until the time that `due` gives, which may move meanwhile. */
+  /** Sleeps until the time that `due` returns, re-evaluated on each wake-up. */
   private async sleepUntil(due: () => number): Promise<void> {
     const {clock} = this.options;
     while (!this.stopped) {
@@ -443,11 +426,11 @@
   }
 }
 
-/** Head start of the peers over a daemon's own first read, in milliseconds. */
-function headStartOf(linkMbps: number): number {
+/** Returns the head start of peers over the first read. */
+function computePeerHeadStartMs(linkMbps: number): number {
   const onLink = Math.min(
-    LONGEST_HEAD_START_MS,
-    HEAD_START_KILOBITS / linkMbps,
+    MAX_PEER_HEAD_START_MS,
+    PEER_HEAD_START_KILOBITS / linkMbps,
   );
-  return Math.max(PEER_HEAD_START_MS, onLink);
+  return Math.max(MIN_PEER_HEAD_START_MS, onLink);
 }
--- a/src/catalog/catalog-transfer-limiter.ts
+++ b/src/catalog/catalog-transfer-limiter.ts
@@ -10,20 +10,20 @@
 const ROUTE_BYTES = 30;
 const SERVER_BYTES = 65;
 /** Copies up to this length are given to everyone at once, in bytes. */
-const SMALL_COPY_BYTES = 4_096;
+const MAX_UNLIMITED_BYTES = 4_096;
 /** Time that a copy may wait for its turn in any case, in milliseconds. */
-const SHORT_QUEUE_MS = 40;
+const MAX_QUEUE_MS = 40;
 /** Time after its last byte left until a copy is there and can be given on. */
-const ARRIVAL_MS = 10;
+const DELIVERY_MS = 10;
 /** Daemons with a copy that are remembered. */
-const REMEMBERED_TAKERS = 16;
+const MAX_RECIPIENTS = 16;
 /** Time for which a daemon that took a copy is named, in milliseconds. */
-const TAKER_LIFETIME_MS = 2_000;
-const BITS_A_BYTE = 8;
-const BITS_A_MILLISECOND = 1_000;
+const RECIPIENT_TTL_MS = 2_000;
+const BITS_PER_BYTE = 8;
+const BITS_PER_MS_PER_MBPS = 1_000;
 
 /** A daemon that was given a copy. */
-interface Taker {
+interface Recipient {
   readonly address: number;
   /** When it has the copy; monotonic milliseconds. */
   readonly readyAt: number;
@@ -38,11 +38,11 @@
 
 /** The copies that one daemon gives. */
 export class CatalogTransferLimiter {
-  private takers: Taker[] = [];
+  private recipients: Recipient[] = [];
   /** When the link has carried all copies given so far; monotonic milliseconds. */
   private busyUntil = -Infinity;
   /** Referrals so far. */
-  private turn = 0;
+  private referrals = 0;
 
   private constructor(private readonly linkMbps: number) {}
 
@@ -55,28 +55,31 @@
    * Whom to ask in place of this one for a copy of some length; undefined when this one
    * gives it, which counts as done.
    */
-  referralFor(
+  admitOrRefer(
     asker: number,
     copy: {routes: number; servers: number},
     now: number,
   ): Referral | undefined {
     const bytes = copy.routes * ROUTE_BYTES + copy.servers * SERVER_BYTES;
-    if (bytes <= SMALL_COPY_BYTES) {
+    if (bytes <= MAX_UNLIMITED_BYTES) {
       return undefined;
     }
     const begin = Math.max(now, this.busyUntil);
     const taker =
-      begin - now > SHORT_QUEUE_MS
-        ? this.nextTaker(asker, now, begin + ARRIVAL_MS)
+      begin - now > MAX_QUEUE_MS
+        ? this.nextRecipient(asker, now, begin + DELIVERY_MS)
         : undefined;
     if (taker !== undefined) {
       const waitMs = Math.max(0, Math.ceil(taker.readyAt - now));
       return {other: taker.address, waitMs};
     }
     const takesMs =
-      (bytes * BITS_A_BYTE) / (this.linkMbps * BITS_A_MILLISECOND);
+      (bytes * BITS_PER_BYTE) / (this.linkMbps * BITS_PER_MS_PER_MBPS);
     this.busyUntil = begin + takesMs;
-    this.remember({address: asker, readyAt: this.busyUntil + ARRIVAL_MS});
+    this.recordRecipient({
+      address: asker,
+      readyAt: this.busyUntil + DELIVERY_MS,
+    });
     return undefined;
   }
 
@@ -84,23 +87,25 @@
    * The daemons that took a copy of late, and have it before this one could begin to
    * send another, are named in turn.
    */
-  private nextTaker(
+  private nextRecipient(
     asker: number,
     now: number,
     readyBy: number,
-  ): Taker | undefined {
-    const known = this.takers.filter(
+  ): Recipient | undefined {
+    const known = this.recipients.filter(
       ({address, readyAt}) =>
         address !== asker &&
         readyAt <= readyBy &&
-        now - readyAt <= TAKER_LIFETIME_MS,
+        now - readyAt <= RECIPIENT_TTL_MS,
     );
-    this.turn += 1;
-    return known[this.turn % Math.max(1, known.length)];
+    this.referrals += 1;
+    return known[this.referrals % Math.max(1, known.length)];
   }
 
-  private remember(taker: Taker): void {
-    const others = this.takers.filter(({address}) => address !== taker.address);
-    this.takers = [...others, taker].slice(-REMEMBERED_TAKERS);
+  private recordRecipient(taker: Recipient): void {
+    const others = this.recipients.filter(
+      ({address}) => address !== taker.address,
+    );
+    this.recipients = [...others, taker].slice(-MAX_RECIPIENTS);
   }
 }
--- a/src/catalog/reader-rank.spec.ts
+++ b/src/catalog/reader-rank.spec.ts
@@ -51,7 +51,7 @@
 });
 
 /** Places of a fleet of ample daemons, the first first. */
-function placesOf(daemons: number): number[] {
+function positionsOf(daemons: number): number[] {
   return Array.from({length: daemons}, (_daemon, index) =>
     computeElectionPosition(
       {reader: 0x0a000001 + index, failureDomain: 'a', capacity: 500},
@@ -62,7 +62,7 @@
 
 [8, 30, 195, 1_000, 5_606].forEach(daemons =>
   test(`few of ${daemons} daemons offer to read before the first is heard`, () => {
-    const places = placesOf(daemons);
+    const places = positionsOf(daemons);
     // A twentieth of the turns is 25 ms, enough for the news of an offer.
     const early = places.filter(place => place - places[0] < 0.05);
     assert.ok(early.length <= 3, `${early.length}`);
--- a/src/catalog/reader-rank.ts
+++ b/src/catalog/reader-rank.ts
@@ -6,12 +6,12 @@
 
 const RANK_SEED = 41;
 /** Capacity that a reader should have, in thousandths of a core. */
-const AMPLE_CAPACITY = 300;
+const PREFERRED_CAPACITY = 300;
 /** Steps by which a daemon without any processor share ranks behind an ample one. */
-const SCARCE_STEPS = 4;
+const CAPACITY_STEPS = 4;
 const HASH_RANGE = 2 ** 32;
 /** Size of a fleet up to which few daemons draw nearly the same place. */
-const LARGEST_FLEET = 10_000;
+const MAX_FLEET_SIZE = 10_000;
 
 /** What ranking needs of a daemon. */
 export interface RankedDaemon {
@@ -31,7 +31,7 @@
   hasher: Hasher,
 ): T[] {
   const ordered = daemons
-    .map(daemon => ({daemon, key: orderOf(daemon, hasher)}))
+    .map(daemon => ({daemon, key: rankKeyOf(daemon, hasher)}))
     .sort((a, b) => a.key - b.key)
     .map(({daemon}) => daemon);
   const [first, ...rest] = ordered;
@@ -55,13 +55,13 @@
   hasher: Hasher,
 ): number {
   const share = (hashOf(daemon, hasher) + 1) / HASH_RANGE;
-  const place = 1 + Math.log(share) / Math.log(LARGEST_FLEET);
-  return Math.max(0, place) + scarcityOf(daemon) / (2 * SCARCE_STEPS);
+  const place = 1 + Math.log(share) / Math.log(MAX_FLEET_SIZE);
+  return Math.max(0, place) + shortfallOf(daemon) / (2 * CAPACITY_STEPS);
 }
 
 /** Sorts scarce daemons behind ample ones, then by hash. */
-function orderOf(daemon: RankedDaemon, hasher: Hasher): number {
-  return scarcityOf(daemon) * HASH_RANGE + hashOf(daemon, hasher);
+function rankKeyOf(daemon: RankedDaemon, hasher: Hasher): number {
+  return shortfallOf(daemon) * HASH_RANGE + hashOf(daemon, hasher);
 }
 
 function hashOf({reader}: RankedDaemon, hasher: Hasher): number {
@@ -69,7 +69,7 @@
 }
 
 /** Whole steps by which a daemon lacks capacity, from 0 to `SCARCE_STEPS`. */
-function scarcityOf({capacity}: RankedDaemon): number {
-  const share = Math.min(capacity, AMPLE_CAPACITY) / AMPLE_CAPACITY;
-  return Math.round((1 - share) * SCARCE_STEPS);
+function shortfallOf({capacity}: RankedDaemon): number {
+  const share = Math.min(capacity, PREFERRED_CAPACITY) / PREFERRED_CAPACITY;
+  return Math.round((1 - share) * CAPACITY_STEPS);
 }
--- a/src/catalog/snapshot-reader.ts
+++ b/src/catalog/snapshot-reader.ts
@@ -13,9 +13,9 @@
 import {decodeSnapshot} from './catalog-messages.js';
 
 /** Length of a long published list, in kilobits: 250 routes and 105 servers. */
-const LONG_LIST_KILOBITS = 1_200;
+const REFERENCE_LIST_KILOBITS = 1_200;
 /** Time on the link that is worth asking for the kept copy first, in milliseconds. */
-const WORTHWHILE_MS = 5;
+const MIN_TRANSFER_MS = 5;
 
 /** What a kept copy is read with. */
 export interface SnapshotReaderOptions {
@@ -36,8 +36,8 @@
   }
 
   /** Whether it is worth a call: on an ample link the published list is as fast. */
-  get isWorthwhile(): boolean {
-    return LONG_LIST_KILOBITS / this.options.linkMbps > WORTHWHILE_MS;
+  get isPreferred(): boolean {
+    return REFERENCE_LIST_KILOBITS / this.options.linkMbps > MIN_TRANSFER_MS;
   }
 
   /**
--- a/src/catalog/snapshot-writer.spec.ts
+++ b/src/catalog/snapshot-writer.spec.ts
@@ -19,13 +19,13 @@
 /** As many as make a published list of 30 kB and more. */
 const MANY_SERVERS = 105;
 
-type Keep = (
+type WriteSnapshot = (
   bytes: Uint8Array,
   revision: number,
 ) => ResultAsync<SnapshotWriteOutcome, SourceFailure>;
 
 /** A keeper of a list of servers whose writes end as a function says. */
-function createKeeper(servers: number, write: Keep) {
+function createWriter(servers: number, write: WriteSnapshot) {
   const clock = FakeClock.create();
   const catalog = Catalog.create({hasher, flowLifetimeMs: 60_000});
   const written: Array<{bytes: Uint8Array; expected: number}> = [];
@@ -58,12 +58,15 @@
   return {clock, catalog, keeper, written, take};
 }
 
-const done = (revision: number): Keep => {
+const succeedAt = (revision: number): WriteSnapshot => {
   return () => okAsync({isDone: true, revision});
 };
 
 test('a long list is kept once, and again when it has changed', async () => {
-  const {clock, keeper, written, take} = createKeeper(MANY_SERVERS, done(11));
+  const {clock, keeper, written, take} = createWriter(
+    MANY_SERVERS,
+    succeedAt(11),
+  );
   await keeper.write();
   await keeper.write();
   await clock.advance(60_000);
@@ -84,7 +87,10 @@
 });
 
 test('a release of a server each 100 ms is a write each two seconds', async () => {
-  const {clock, keeper, written, take} = createKeeper(MANY_SERVERS, done(11));
+  const {clock, keeper, written, take} = createWriter(
+    MANY_SERVERS,
+    succeedAt(11),
+  );
   await Array.from({length: 100}).reduce<Promise<void>>(
     async (before, _step, index) => {
       await before;
@@ -98,13 +104,13 @@
 });
 
 test('a short list is not kept', async () => {
-  const {keeper, written} = createKeeper(13, done(11));
+  const {keeper, written} = createWriter(13, succeedAt(11));
   await keeper.write();
   assert.equal(written.length, 0);
 });
 
 test('a copy that another daemon wrote meanwhile is replaced at its revision', async () => {
-  const {keeper, written} = createKeeper(MANY_SERVERS, (_bytes, expected) =>
+  const {keeper, written} = createWriter(MANY_SERVERS, (_bytes, expected) =>
     okAsync({isDone: expected === 40, revision: 40}),
   );
   await keeper.write();
@@ -117,20 +123,20 @@
 });
 
 test('a write of another daemon has this one write again, later ones do not count', async () => {
-  const {clock, keeper, written} = createKeeper(MANY_SERVERS, done(11));
+  const {clock, keeper, written} = createWriter(MANY_SERVERS, succeedAt(11));
   await keeper.write();
-  keeper.noteWritten(11);
+  keeper.recordWrite(11);
   await clock.advance(5_000);
   await keeper.write();
   assert.equal(written.length, 1);
-  keeper.noteWritten(15);
+  keeper.recordWrite(15);
   await keeper.write();
   assert.deepEqual(written[1].expected, 15);
 });
 
 test('a store that is away is asked again after the gap alone', async () => {
   const failure = SourceFailure.create(SourceFailureKind.SILENT, 'keep', '');
-  const {clock, keeper, written} = createKeeper(MANY_SERVERS, () =>
+  const {clock, keeper, written} = createWriter(MANY_SERVERS, () =>
     errAsync(failure),
   );
   await keeper.write();
--- a/src/catalog/snapshot-writer.ts
+++ b/src/catalog/snapshot-writer.ts
@@ -18,19 +18,19 @@
 const PUBLISHED_ROUTE_BYTES = 300;
 const PUBLISHED_SERVER_BYTES = 350;
 /** Length of a published list from which on a copy is kept, in bytes. */
-const LONG_LIST_BYTES = 32_768;
+const MIN_LIST_BYTES = 32_768;
 /** Longest copy that is kept, in bytes: values of a store are bounded. */
-const LONGEST_COPY_BYTES = 512 * 1_024;
+const MAX_SNAPSHOT_BYTES = 512 * 1_024;
 /**
  * Shortest time between two writes, in milliseconds. A daemon that starts from a copy
  * of then lacks what changed since, until it reads on.
  */
-const WRITE_GAP_MS = 2_000;
+const MIN_WRITE_INTERVAL_MS = 2_000;
 /** Longest wait for the answer to a write, in milliseconds. */
-const WRITE_LIMIT_MS = 500;
+const WRITE_TIMEOUT_MS = 500;
 
 /** What a kept copy holds, as far as it is known. */
-interface KeptVersions {
+interface SnapshotVersions {
   readonly routeVersion: number;
   readonly serverDigest: number;
 }
@@ -48,9 +48,9 @@
   /** Revision at which the copy was last written, as far as is known; 0: never. */
   private revision = 0;
   /** What this daemon wrote last; undefined once another one wrote. */
-  private kept: KeptVersions | undefined;
+  private lastWritten: SnapshotVersions | undefined;
   /** Monotonic milliseconds before which nothing is written again. */
-  private writeFrom = -Infinity;
+  private nextWriteAt = -Infinity;
 
   private constructor(private readonly options: SnapshotWriterOptions) {}
 
@@ -60,10 +60,10 @@
   }
 
   /** Notes that the copy was written at a revision, by this daemon or another one. */
-  noteWritten(revision: number): void {
+  recordWrite(revision: number): void {
     if (revision > this.revision) {
       this.revision = revision;
-      this.kept = undefined;
+      this.lastWritten = undefined;
     }
   }
 
@@ -72,22 +72,26 @@
     const {catalog, source, clock, log} = this.options;
     const now = clock.now();
     const held = versionsOf(catalog);
-    if (now < this.writeFrom || isEqual(held, this.kept) || !isLong(catalog)) {
+    if (
+      now < this.nextWriteAt ||
+      isEqual(held, this.lastWritten) ||
+      !isWorthStoring(catalog)
+    ) {
       return;
     }
     const bytes = encodeSnapshot(catalog, now);
-    this.writeFrom = now + WRITE_GAP_MS;
-    if (bytes.length > LONGEST_COPY_BYTES) {
+    this.nextWriteAt = now + MIN_WRITE_INTERVAL_MS;
+    if (bytes.length > MAX_SNAPSHOT_BYTES) {
       return;
     }
-    const deadline = now + WRITE_LIMIT_MS;
+    const deadline = now + WRITE_TIMEOUT_MS;
     const written = await source.writeSnapshot(bytes, this.revision, deadline);
     written.match(
       ({isDone, revision}) => {
         this.revision = revision;
-        this.kept = isDone ? held : undefined;
+        this.lastWritten = isDone ? held : undefined;
         // Another daemon's write was not known: this one may follow it at once.
-        this.writeFrom = isDone ? this.writeFrom : now;
+        this.nextWriteAt = isDone ? this.nextWriteAt : now;
         log.info('copy-kept', {isDone, revision, bytes: bytes.length});
       },
       failure => log.info('copy-not-kept', {cause: failure.message}),
@@ -95,12 +99,15 @@
   }
 }
 
-function versionsOf(catalog: Catalog): KeptVersions {
+function versionsOf(catalog: Catalog): SnapshotVersions {
   const {routeVersion, serverDigest} = catalog.stamp;
   return {routeVersion, serverDigest};
 }
 
-function isEqual(held: KeptVersions, kept: KeptVersions | undefined): boolean {
+function isEqual(
+  held: SnapshotVersions,
+  kept: SnapshotVersions | undefined,
+): boolean {
   return (
     held.routeVersion === kept?.routeVersion &&
     held.serverDigest === kept.serverDigest
@@ -108,9 +115,9 @@
 }
 
 /** Whether the published list is so long that a copy gains anything. */
-function isLong(catalog: Catalog): boolean {
+function isWorthStoring(catalog: Catalog): boolean {
   const bytes =
     catalog.allRoutes().length * PUBLISHED_ROUTE_BYTES +
     catalog.allServers().length * PUBLISHED_SERVER_BYTES;
-  return bytes >= LONG_LIST_BYTES;
+  return bytes >= MIN_LIST_BYTES;
 }
