--- a/src/catalog/reader-election.ts
+++ b/src/catalog/reader-election.ts
@@ -1,74 +1,67 @@
 /**
- * When one daemon reads the store. Two daemons of the fleet wait for events there all
- * the time, of two failure domains if they can; whoever hears of fewer offers to be
- * one, in an order that all work out alike, and the offer holds the others back. So
- * nobody needs to know who else is there, and a fleet of any size makes about as many
- * calls as two daemons do.
- *
- * The pattern answered: readers that are killed, frozen, cut off, slowed down or
- * turned away by the store, alone or all at once, while a version is accepted.
+ * Elects the daemons that read the store for the fleet. Two daemons, in two failure
+ * domains where possible, watch it continuously. A daemon that knows of fewer becomes a
+ * candidate after a delay by its position, and its announced attempt suppresses other
+ * candidates. No daemon needs the full membership, and the load on the store does not
+ * grow with the fleet.
  */
 import {ReadState} from '../generated/catalog.js';
 import type {Hasher} from '../ports/hasher.js';
 import {ReaderStatuses, type ReaderStatus} from './reader-statuses.js';
 import {computeElectionPosition, type RankedDaemon} from './reader-rank.js';
 
-/** Daemons that wait for events at the store all the time. */
+/** Daemons that watch the store at a time. */
 const READER_COUNT = 2;
 
 /**
- * Shares of the time in which a version has to be in force everywhere. A reader that
- * was not heard of for the first is replaced, by those that take turns over the
- * second: at a limit of 3 s that is 2.25 s and half a second, of which the first few
- * daemons of a fleet of any size use some 0.3 s, and the rest is for the spread.
+ * Lease of a reader and length of the election window, as fractions of the propagation
+ * limit. Together they leave at least a twelfth of it for gossip.
  */
 const LEASE_FRACTION = 0.75;
 const ELECTION_WINDOW_FRACTION = 1 / 6;
 
 /**
- * Longest time after its last read for which a daemon counts as a reader, in
- * milliseconds: one wait for events, the pause after it, and some time for a slow
- * store and for the news.
+ * Maximum lease, counted from a reader's last read: one wait for events and the pause
+ * after it, with a margin for a slow store and for gossip.
  */
 const MAX_LEASE_MS = 2_250;
-/** Longest time over which daemons take turns, in milliseconds. */
 const MAX_ELECTION_WINDOW_MS = 500;
 
-/**
- * Time for which an offer that has no outcome yet holds others back, in milliseconds:
- * some seventy usual answers of the store. A store that is silent costs the fleet two
- * calls a second.
- */
+/** How long an attempt without an outcome suppresses other candidates. */
 const CANDIDACY_TIMEOUT_MS = 300;
 
-/** Time for which a daemon whose read failed leaves it to others, in milliseconds. */
+/** How long a daemon is no candidate after a failed read. */
 const FAILURE_BACKOFF_MS = 4_000;
 
-/** Turns of a daemon of the only other reader's failure domain are later by this. */
+/** Added to the position of a candidate in the failure domain of the only reader. */
 const SAME_DOMAIN_PENALTY = 1;
 
-/** Readers told of in one beat. */
+/** Statuses of readers in one heartbeat. */
 const GOSSIPED_READERS = 2;
-/** Others told of in one beat. */
+/** Statuses of other daemons in one heartbeat. */
 const GOSSIPED_NON_READERS = 2;
 
-/** What turns are made from. */
+/** Settings of `ReaderElection`. */
 export interface ReaderElectionOptions {
   readonly self: RankedDaemon;
   readonly hasher: Hasher;
-  /** Time in which a version has to be in force everywhere, in milliseconds. */
+  /** Propagation limit: time by which all daemons must use a published version. */
   readonly inForceLimitMs: number;
 }
 
-/** The turns of one daemon. */
+/** One daemon's view of the election and its part in it. */
 export class ReaderElection {
   private readonly statuses: ReaderStatuses;
   private readonly leaseMs: number;
   private readonly electionWindowMs: number;
-  /** This daemon's place in the order of offers, mostly from 0 to 1. */
+  /** This daemon's position in the order of candidates, mostly from 0 to 1. */
   readonly position: number;
-  /** Since when too few readers were known; undefined while there are enough. */
+  /**
+   * When a reader was first found missing, or the last one joined since; monotonic
+   * milliseconds. Undefined while there are enough.
+   */
   private missingReaderSince: number | undefined;
+  /** Monotonic milliseconds before which this daemon is no candidate. */
   private backoffUntil = -Infinity;
 
   private constructor(private readonly options: ReaderElectionOptions) {
@@ -82,82 +75,87 @@
     this.position = computeElectionPosition(self, hasher);
   }
 
-  /** Creates the turns of a daemon that has heard of no reader. */
+  /** Creates the election of a daemon that knows of no reader. */
   static create(options: ReaderElectionOptions): ReaderElection {
     return new ReaderElection(options);
   }
 
-  /** Takes what was told of another reader; returns what `ReadMarks.take` does. */
-  mergePeerStatus(mark: ReaderStatus, now: number): number {
-    return mark.reader === this.options.self.reader ? 0 : this.merge(mark, now);
+  /** Merges a status from a peer, unless it is this daemon's own; returns the gain. */
+  mergePeerStatus(status: ReaderStatus, now: number): number {
+    return status.reader === this.options.self.reader
+      ? 0
+      : this.merge(status, now);
   }
 
-  /** Notes that this daemon has begun a read although it is no reader yet. */
+  /** Records that this daemon, which is no reader yet, has begun a read. */
   recordAttempt(now: number): void {
     this.recordOwnStatus(ReadState.READ_TRYING, now);
   }
 
-  /** Notes that this daemon has read, and may be one of the readers now. */
+  /** Records a successful read, which may make this daemon a reader. */
   recordSuccess(now: number): void {
     this.backoffUntil = -Infinity;
     this.recordOwnStatus(ReadState.READ_DONE, now);
   }
 
-  /** Notes that the store did not answer this daemon. */
+  /** Records a failed read, after which this daemon backs off. */
   recordFailure(now: number): void {
     this.backoffUntil = now + FAILURE_BACKOFF_MS;
     this.recordOwnStatus(ReadState.READ_CEASED, now);
   }
 
-  /** Notes that this daemon is about to stop; others may take over at once. */
+  /** Records that this daemon is stopping, so that others may take over at once. */
   noteLeaving(now: number): void {
     this.backoffUntil = Infinity;
     this.recordOwnStatus(ReadState.READ_CEASED, now);
   }
 
-  /** Whether this daemon is one of the two that wait for events all the time. */
+  /** Whether this daemon is one of the elected readers. */
   isReader(now: number): boolean {
     const rank = this.rankAt(now);
     return rank >= 0 && rank < READER_COUNT;
   }
 
-  /** Whether this daemon is the first of them, who does what one alone has to. */
+  /** Whether this daemon is the first reader, which does what only one should do. */
   isFirstReader(now: number): boolean {
     return this.rankAt(now) === 0;
   }
 
-  /** Readers that this daemon knows, itself included. */
+  /** Returns how many daemons are known to read, this one included. */
   countReaders(now: number): number {
     return this.statuses.readers(now).length;
   }
 
   /**
-   * When this daemon has to offer to be a reader, or to look again, if nothing is
-   * heard until then; monotonic milliseconds.
+   * Returns when this daemon becomes a candidate, or, while there are enough readers,
+   * when the first lease ends; monotonic milliseconds. Later statuses may change it.
    */
   nextCandidacyAt(now: number): number {
     const readers = this.statuses.readers(now);
     if (readers.length >= READER_COUNT) {
       this.missingReaderSince = undefined;
-      const nextEnd = Math.min(
+      const firstExpiry = Math.min(
         ...readers.slice(0, READER_COUNT).map(({at}) => at),
       );
-      return nextEnd + this.leaseMs + 1;
+      return firstExpiry + this.leaseMs + 1;
     }
     this.missingReaderSince ??= now;
     const {failureDomain} = this.options.self;
-    const isNear = readers[0]?.failureDomain === failureDomain;
-    const place = this.position + (isNear ? SAME_DOMAIN_PENALTY : 0);
+    const isSameDomain = readers[0]?.failureDomain === failureDomain;
+    const position = this.position + (isSameDomain ? SAME_DOMAIN_PENALTY : 0);
     const from = Math.max(this.missingReaderSince, this.suppressedUntil(now));
-    return Math.max(from + place * this.electionWindowMs, this.backoffUntil);
+    return Math.max(from + position * this.electionWindowMs, this.backoffUntil);
   }
 
-  /** When anybody was last heard to read in vain, or to begin; -Infinity: nobody. */
+  /**
+   * Returns when a daemon last began a read, or ceased to read; -Infinity if none is
+   * known. Successful reads don't count.
+   */
   lastAttemptAt(now: number): number {
     return this.statuses.nonReaders(now)[0]?.at ?? -Infinity;
   }
 
-  /** The marks to tell in a beat. */
+  /** Selects the statuses for a heartbeat. */
   selectStatusesToGossip(now: number): ReaderStatus[] {
     return [
       ...this.statuses.readers(now).slice(0, GOSSIPED_READERS),
@@ -165,32 +163,34 @@
     ];
   }
 
-  /** Until when the newest offer or failure of another daemon holds this one back. */
+  /** Returns until when other daemons' attempts and failures put off the candidacy. */
   private suppressedUntil(now: number): number {
     const {reader} = this.options.self;
     const known = this.statuses
       .nonReaders(now)
-      .filter(mark => mark.reader !== reader)
+      .filter(status => status.reader !== reader)
       .map(({state, at}) =>
         state === ReadState.READ_TRYING ? at + CANDIDACY_TIMEOUT_MS : at,
       );
     return Math.max(-Infinity, ...known);
   }
 
-  /** This daemon's place among the readers; -1: it is none. */
+  /** Returns this daemon's rank among the readers, or -1 if it is none. */
   private rankAt(now: number): number {
     const {reader} = this.options.self;
-    return this.statuses.readers(now).findIndex(mark => mark.reader === reader);
+    return this.statuses
+      .readers(now)
+      .findIndex(status => status.reader === reader);
   }
 
   private recordOwnStatus(state: ReadState, at: number): void {
     this.merge({...this.options.self, state, at}, at);
   }
 
-  /** Takes a mark; a further reader has the turns for what is still missing begin anew. */
-  private merge(mark: ReaderStatus, now: number): number {
+  /** Merges a status; an additional reader restarts the election window. */
+  private merge(status: ReaderStatus, now: number): number {
     const before = this.statuses.readers(now).length;
-    const gain = this.statuses.merge(mark, now);
+    const gain = this.statuses.merge(status, now);
     if (this.statuses.readers(now).length > before) {
       this.missingReaderSince = now;
     }
--- a/src/catalog/reader-rank.spec.ts
+++ b/src/catalog/reader-rank.spec.ts
@@ -21,7 +21,7 @@
   )
   .map((daemons): RankedDaemon[] => daemons);
 
-test('the order holds every daemon once, whatever order they came in', () => {
+test('the order contains each daemon once and does not depend on the input order', () => {
   fc.assert(
     fc.property(FLEET, fleet => {
       const ordered = orderReaders(fleet, hasher);
@@ -33,12 +33,16 @@
   );
 });
 
-test('the first daemon is ample, and the second of another failure domain, where there is one', () => {
+test('the first daemon has the preferred capacity, and the second is in another failure domain, if possible', () => {
   fc.assert(
     fc.property(FLEET, fleet => {
       const [first, second] = orderReaders(fleet, hasher);
-      const isAmple = ({capacity}: RankedDaemon) => capacity >= 300;
-      assert.equal(isAmple(first), fleet.some(isAmple));
+      const hasPreferredCapacity = ({capacity}: RankedDaemon) =>
+        capacity >= 300;
+      assert.equal(
+        hasPreferredCapacity(first),
+        fleet.some(hasPreferredCapacity),
+      );
       const elsewhere = fleet.some(
         ({failureDomain}) => failureDomain !== first.failureDomain,
       );
@@ -50,7 +54,7 @@
   );
 });
 
-/** Places of a fleet of ample daemons, the first first. */
+/** Positions in a fleet of daemons with the preferred capacity, in ascending order. */
 function positionsOf(daemons: number): number[] {
   return Array.from({length: daemons}, (_daemon, index) =>
     computeElectionPosition(
@@ -61,11 +65,11 @@
 }
 
 [8, 30, 195, 1_000, 5_606].forEach(daemons =>
-  test(`few of ${daemons} daemons offer to read before the first is heard`, () => {
-    const places = positionsOf(daemons);
-    // A twentieth of the turns is 25 ms, enough for the news of an offer.
-    const early = places.filter(place => place - places[0] < 0.05);
+  test(`few of ${daemons} daemons are candidates before the first one is heard`, () => {
+    const positions = positionsOf(daemons);
+    // A twentieth of the election window is 25 ms, enough to announce an attempt.
+    const early = positions.filter(position => position - positions[0] < 0.05);
     assert.ok(early.length <= 3, `${early.length}`);
-    assert.ok(places[0] < 0.9, `${places[0]}`);
+    assert.ok(positions[0] < 0.9, `${positions[0]}`);
   }),
 );
--- a/src/catalog/reader-rank.ts
+++ b/src/catalog/reader-rank.ts
@@ -1,19 +1,19 @@
 /**
- * The order in which daemons read the store, worked out alike by all of them from
- * their addresses and processor shares, without knowing each other.
+ * Ranks daemons for the reader election. Each daemon computes the same order from
+ * addresses and processor shares, without knowing the full membership.
  */
 import type {Hasher} from '../ports/hasher.js';
 
 const RANK_SEED = 41;
-/** Capacity that a reader should have, in thousandths of a core. */
-const PREFERRED_CAPACITY = 300;
-/** Steps by which a daemon without any processor share ranks behind an ample one. */
+/** Capacity from which on daemons rank alike. */
+const PREFERRED_CAPACITY_MILLICORES = 300;
+/** Levels into which capacities below the preferred one are divided. */
 const CAPACITY_STEPS = 4;
 const HASH_RANGE = 2 ** 32;
-/** Size of a fleet up to which few daemons draw nearly the same place. */
+/** Fleet size up to which only a few daemons get nearly the same position. */
 const MAX_FLEET_SIZE = 10_000;
 
-/** What ranking needs of a daemon. */
+/** The attributes of a daemon that determine its rank. */
 export interface RankedDaemon {
   /** IPv4 address as an unsigned number. */
   readonly reader: number;
@@ -23,8 +23,8 @@
 }
 
 /**
- * Daemons in the order of their rank. Ample ones come first, then by hash; the second
- * is of another failure domain than the first if one is.
+ * Sorts daemons by rank: by capacity level, then by hash. The second one is in another
+ * failure domain than the first, if any is.
  */
 export function orderReaders<T extends RankedDaemon>(
   daemons: readonly T[],
@@ -44,22 +44,20 @@
 }
 
 /**
- * A daemon's place in the order in which daemons that do not know each other offer
- * to read, mostly from 0 to 1, somewhat above for scarce ones. Places are logarithms
- * of hashes: whether a fleet has 8 daemons or 10,000, its first few places lie apart
- * alike, by about a tenth, and no matter how many come after them (exponentially
- * distributed timers, as multicast feedback is suppressed).
+ * Returns a daemon's position in the order of candidates: from 0 to 1, and up to a half
+ * more at low capacity. Positions are logarithms of hashes, as in the exponentially
+ * distributed timers of multicast feedback suppression, so the first few are about a
+ * tenth apart in a fleet of any size.
  */
 export function computeElectionPosition(
   daemon: RankedDaemon,
   hasher: Hasher,
 ): number {
   const share = (hashOf(daemon, hasher) + 1) / HASH_RANGE;
-  const place = 1 + Math.log(share) / Math.log(MAX_FLEET_SIZE);
-  return Math.max(0, place) + shortfallOf(daemon) / (2 * CAPACITY_STEPS);
+  const position = 1 + Math.log(share) / Math.log(MAX_FLEET_SIZE);
+  return Math.max(0, position) + shortfallOf(daemon) / (2 * CAPACITY_STEPS);
 }
 
-/** Sorts scarce daemons behind ample ones, then by hash. */
 function rankKeyOf(daemon: RankedDaemon, hasher: Hasher): number {
   return shortfallOf(daemon) * HASH_RANGE + hashOf(daemon, hasher);
 }
@@ -68,8 +66,10 @@
   return hasher.hashText(String(reader), RANK_SEED);
 }
 
-/** Whole steps by which a daemon lacks capacity, from 0 to `SCARCE_STEPS`. */
+/** Returns how many levels a daemon is below the preferred capacity; 0: none. */
 function shortfallOf({capacity}: RankedDaemon): number {
-  const share = Math.min(capacity, PREFERRED_CAPACITY) / PREFERRED_CAPACITY;
+  const share =
+    Math.min(capacity, PREFERRED_CAPACITY_MILLICORES) /
+    PREFERRED_CAPACITY_MILLICORES;
   return Math.round((1 - share) * CAPACITY_STEPS);
 }
--- a/src/catalog/reader-statuses.ts
+++ b/src/catalog/reader-statuses.ts
@@ -1,25 +1,23 @@
 /**
- * Who reads the store, as one daemon knows it. Readers mark their reads, and the
- * marks travel with beats. The record is bounded, however many daemons read: of those
- * that read it keeps the ones that rank first, of the others the newest.
+ * Statuses of the daemons that read the store, as gossiped in heartbeats. The set is
+ * bounded: it keeps the readers of the best rank and the newest statuses of others.
  */
 import {ReadState} from '../generated/catalog.js';
 import type {Hasher} from '../ports/hasher.js';
 import {orderReaders} from './reader-rank.js';
 
-/** Readers kept at the most: the two that are to read, and as many that may follow. */
+/** Readers kept: the elected ones and as many that may succeed them. */
 const MAX_READERS = 4;
-/** Marks kept of daemons that try to read or have ceased to. */
+/** Statuses kept of daemons that attempt to read or have ceased to. */
 const MAX_NON_READERS = 4;
-/** Time for which a mark of a daemon that does not read is kept, in milliseconds. */
 const NON_READER_RETENTION_MS = 10_000;
 /**
- * Difference in time up to which two marks of one reader are the same, in
- * milliseconds: ages are told over several hops, and each adds its delay.
+ * Difference in time up to which two statuses of one daemon count as the same: each
+ * gossip hop adds its delay to the age.
  */
 const AGE_TOLERANCE_MS = 150;
 
-/** How one daemon stands with the store. */
+/** State of one daemon's reads of the store. */
 export interface ReaderStatus {
   /** IPv4 address as an unsigned number. */
   readonly reader: number;
@@ -27,40 +25,40 @@
   /** Processor share in thousandths of a core. */
   readonly capacity: number;
   readonly state: ReadState;
-  /** When it was so last; monotonic milliseconds. */
+  /** When the daemon was last in this state; monotonic milliseconds. */
   readonly at: number;
 }
 
-/** The marks that one daemon knows. */
+/** The statuses that one daemon knows. */
 export class ReaderStatuses {
   private readonly statuses = new Map<number, ReaderStatus>();
 
   private constructor(
     private readonly hasher: Hasher,
-    /** Time after its last read for which a daemon counts as a reader. */
+    /** How long a daemon counts as a reader after its last read. */
     private readonly leaseMs: number,
   ) {}
 
-  /** Creates a record without marks. */
-  static create(hasher: Hasher, lifetimeMs: number): ReaderStatuses {
-    return new ReaderStatuses(hasher, lifetimeMs);
+  /** Creates an empty set. */
+  static create(hasher: Hasher, leaseMs: number): ReaderStatuses {
+    return new ReaderStatuses(hasher, leaseMs);
   }
 
   /**
-   * Takes a mark; returns by how many milliseconds it is newer than what was known of
-   * its reader, 0 if it is not. Another state than was known counts as Infinity.
+   * Merges a status. Returns by how many milliseconds it is newer than the known one of
+   * that daemon, Infinity if its state is another or none was known, 0 if it is not newer.
    */
-  merge(mark: ReaderStatus, now: number): number {
-    const known = this.statuses.get(mark.reader);
-    if (known !== undefined && !isNewer(mark, known)) {
+  merge(status: ReaderStatus, now: number): number {
+    const known = this.statuses.get(status.reader);
+    if (known !== undefined && !isNewer(status, known)) {
       return 0;
     }
-    this.statuses.set(mark.reader, mark);
+    this.statuses.set(status.reader, status);
     this.evictExcess(now);
-    return known?.state === mark.state ? mark.at - known.at : Infinity;
+    return known?.state === status.state ? status.at - known.at : Infinity;
   }
 
-  /** Daemons that read, the first in rank first. */
+  /** Returns the daemons that read, in order of rank. */
   readers(now: number): ReaderStatus[] {
     const reading = [...this.statuses.values()].filter(
       ({state, at}) =>
@@ -69,7 +67,7 @@
     return orderReaders(reading, this.hasher);
   }
 
-  /** Daemons that have ceased to read, or try to and may not succeed; newest first. */
+  /** Returns the daemons that attempt to read or have ceased to, newest first. */
   nonReaders(now: number): ReaderStatus[] {
     return [...this.statuses.values()]
       .filter(
@@ -84,18 +82,18 @@
       ...this.readers(now).slice(0, MAX_READERS),
       ...this.nonReaders(now).slice(0, MAX_NON_READERS),
     ]);
-    this.statuses.forEach((mark, reader) => {
-      if (!kept.has(mark)) {
+    this.statuses.forEach((status, reader) => {
+      if (!kept.has(status)) {
         this.statuses.delete(reader);
       }
     });
   }
 }
 
-/** Of two marks of one attempt, the one that says how it ended is newer. */
-function isNewer(mark: ReaderStatus, known: ReaderStatus): boolean {
-  if (Math.abs(mark.at - known.at) > AGE_TOLERANCE_MS) {
-    return mark.at > known.at;
+/** Of two statuses of one attempt, the one with its outcome is newer. */
+function isNewer(status: ReaderStatus, known: ReaderStatus): boolean {
+  if (Math.abs(status.at - known.at) > AGE_TOLERANCE_MS) {
+    return status.at > known.at;
   }
-  return known.state === ReadState.READ_TRYING && mark.state !== known.state;
+  return known.state === ReadState.READ_TRYING && status.state !== known.state;
 }
