--- a/src/catalog/catalog-exchange.ts
+++ b/src/catalog/catalog-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Copies of the catalog between daemons. Who hears of a newer version pulls what it
- * lacks; who gives many copies names others that have one.
+ * Transfers catalogs between daemons. A daemon that hears of a newer version pulls what
+ * it lacks; one that serves many pulls refers further ones to daemons that it served.
  */
 import type {Beat, CatalogUpdate} from '../generated/catalog.js';
 import type {Clock} from '../ports/clock.js';
@@ -11,58 +11,57 @@
 import type {Catalog} from './catalog.js';
 import {CatalogTransferLimiter} from './catalog-transfer-limiter.js';
 
-/** Deadline of one pull, in milliseconds. */
 const PULL_TIMEOUT_MS = 900;
-/** Pulls under way at once; a second one covers for a peer that died. */
+/** Limits concurrent pulls; the second one covers for a peer that has failed. */
 const MAX_CONCURRENT_PULLS = 2;
-/** Daemons that one pull asks one after the other while they name others. */
+/** Limits the referrals that one pull follows. */
 const MAX_REFERRALS = 6;
-/** Longest wait until a daemon that was named has its copy, in milliseconds. */
+/** Limits the wait until the daemon of a referral has the catalog. */
 const MAX_REFERRAL_WAIT_MS = 300;
-/** Time between two pulls of records of servers with unreadable entries, in milliseconds. */
 const MIN_RECORD_PULL_INTERVAL_MS = 1_000;
 
-/** What an exchange is made from. */
+/** Dependencies and callbacks of `CatalogExchange`. */
 export interface CatalogExchangeOptions {
   /** Address of this daemon. */
   readonly self: number;
+  /** Bandwidth of the instance's link, in megabits per second. */
   readonly linkMbps: number;
   readonly catalog: Catalog;
   readonly channel: FleetChannel;
   readonly clock: Clock;
   readonly log: Log;
-  /** Until when a first copy is expected from the source; monotonic milliseconds. */
+  /** Returns until when a snapshot from the source is awaited; monotonic milliseconds. */
   snapshotExpectedUntil(): number;
-  /** Told when something newer was taken. */
+  /** Called after an update from a peer was applied. */
   onApplied(): void;
 }
 
-/** The copies that one daemon gives and takes. */
+/** Pulls catalog updates from peers, and answers their pulls. */
 export class CatalogExchange {
   private readonly limiter: CatalogTransferLimiter;
-  /** Addresses of the peers that are being asked. */
+  /** Addresses of the peers that are being pulled from. */
   private readonly activePulls = new Set<number>();
-  /** When records may be asked for again; monotonic milliseconds. */
+  /** Earliest time of the next pull of records; monotonic milliseconds. */
   private nextRecordPullAt = -Infinity;
-  /** What was held and what was told when nothing was gained by asking for records. */
+  /** Digests held and offered when a pull of records last changed nothing. */
   private lastFutileRecordPull:
-    readonly [held: number, told: number] | undefined;
+    readonly [held: number, offered: number] | undefined;
 
   private constructor(private readonly options: CatalogExchangeOptions) {
     this.limiter = CatalogTransferLimiter.create(options.linkMbps);
   }
 
-  /** Creates an exchange that asks nobody. */
+  /** Creates an exchange without pulls. */
   static create(options: CatalogExchangeOptions): CatalogExchange {
     return new CatalogExchange(options);
   }
 
-  /** Whether a peer is being asked for its copy. */
+  /** Whether a pull is in progress. */
   get isPulling(): boolean {
     return this.activePulls.size > 0;
   }
 
-  /** Answers a daemon that holds some versions. */
+  /** Answers a pull with what the asker lacks, or refers it to another daemon. */
   answerPull(held: HeldVersions): CatalogUpdate {
     const {catalog, clock} = this.options;
     const now = clock.now();
@@ -77,57 +76,57 @@
       : {routes: undefined, servers: undefined, ...referral};
   }
 
-  /** Whether a daemon that told of itself holds something newer. */
-  holdsNewer(beat: Beat): boolean {
+  /** Whether the sender of a heartbeat holds newer routes or servers. */
+  holdsNewer(heartbeat: Beat): boolean {
     const {stamp} = this.options.catalog;
-    const newerRoutes = beat.routeVersion > stamp.routeVersion;
-    // Equal revisions with other servers: something was missed by one of the
-    // two; the digests decide, alike at both, who takes the other's whole list.
+    const newerRoutes = heartbeat.routeVersion > stamp.routeVersion;
+    // Equal revisions but other servers: one of the two missed a change. Comparing
+    // digests makes both agree on which of them takes the other's whole list.
     const newerServers =
-      beat.serverRevision === stamp.serverRevision
-        ? beat.serverDigest > stamp.serverDigest
-        : beat.serverDigest !== stamp.serverDigest &&
-          beat.serverRevision > stamp.serverRevision;
+      heartbeat.serverRevision === stamp.serverRevision
+        ? heartbeat.serverDigest > stamp.serverDigest
+        : heartbeat.serverDigest !== stamp.serverDigest &&
+          heartbeat.serverRevision > stamp.serverRevision;
     return newerRoutes || newerServers;
   }
 
-  /** Pulls what a beat told of, unless it comes from the source meanwhile. */
-  async pullNewer(sender: number, beat: Beat): Promise<void> {
+  /** Pulls newer versions from a sender, unless the source delivers them first. */
+  async pullNewer(sender: number, heartbeat: Beat): Promise<void> {
     const {catalog} = this.options;
     await this.runPull(sender, async () => {
       await this.awaitSnapshot();
-      if (this.holdsNewer(beat)) {
+      if (this.holdsNewer(heartbeat)) {
         const {serverRevision} = catalog.stamp;
-        const isWhole = beat.serverRevision === serverRevision;
-        await this.pull(sender, isWhole, MAX_REFERRALS);
+        const pullsAll = heartbeat.serverRevision === serverRevision;
+        await this.pull(sender, pullsAll, MAX_REFERRALS);
       }
     });
   }
 
   /**
-   * Pulls records of servers whose entries cannot be read from a daemon that holds the
-   * same entries, and other records.
+   * Pulls records of servers with unreadable entries, if the sender holds the same list
+   * of servers but other such records.
    */
-  async pullRecords(sender: number, beat: Beat): Promise<void> {
+  async pullRecords(sender: number, heartbeat: Beat): Promise<void> {
     const {catalog, clock} = this.options;
-    const told = beat.unreadableDigest;
+    const offered = heartbeat.unreadableDigest;
     const held = catalog.unreadableDigest;
-    const isOther =
-      told !== 0 &&
-      told !== held &&
-      beat.serverDigest === catalog.stamp.serverDigest;
-    const wasInVain =
+    const offersOthers =
+      offered !== 0 &&
+      offered !== held &&
+      heartbeat.serverDigest === catalog.stamp.serverDigest;
+    const wasFutile =
       this.lastFutileRecordPull?.[0] === held &&
-      this.lastFutileRecordPull[1] === told;
+      this.lastFutileRecordPull[1] === offered;
     const now = clock.now();
-    if (isOther && !wasInVain && now >= this.nextRecordPullAt) {
+    if (offersOthers && !wasFutile && now >= this.nextRecordPullAt) {
       this.nextRecordPullAt = now + MIN_RECORD_PULL_INTERVAL_MS;
-      await this.runPull(sender, () => this.requestRecords(sender, told));
+      await this.runPull(sender, () => this.requestRecords(sender, offered));
     }
   }
 
-  /** Asks for everything, as a daemon does that holds nothing; it may be referred on. */
-  private async requestRecords(sender: number, told: number): Promise<void> {
+  /** Pulls the whole server list; a referral is not followed. */
+  private async requestRecords(sender: number, offered: number): Promise<void> {
     const {catalog, clock} = this.options;
     const before = catalog.unreadableDigest;
     const held = {...this.heldVersions(true), serverDigest: 0};
@@ -138,26 +137,26 @@
     }
     this.apply(update.value);
     if (catalog.unreadableDigest === before) {
-      this.lastFutileRecordPull = [before, told];
+      this.lastFutileRecordPull = [before, offered];
     }
   }
 
-  /** Pulls a first copy from a daemon that is said to have one. */
-  async pullFirst(giver: number): Promise<void> {
-    await this.runPull(giver, async () => {
+  /** Pulls the first catalog from a daemon that is said to have one. */
+  async pullFirst(holder: number): Promise<void> {
+    await this.runPull(holder, async () => {
       await this.awaitSnapshot();
       if (this.options.catalog.stamp.serverRevision === 0) {
-        await this.pull(giver, true, MAX_REFERRALS);
+        await this.pull(holder, true, MAX_REFERRALS);
       }
     });
   }
 
-  /** Runs one pull, unless enough of them run. */
+  /** Runs a pull, unless that peer or enough others are being pulled from. */
   private async runPull(
     peer: number,
     pull: () => Promise<void>,
   ): Promise<void> {
-    // A first copy is long, and a second one beside it takes its share of the link.
+    // A first pull transfers the whole catalog; a second one would halve its bandwidth.
     const isFirst = this.options.catalog.stamp.serverRevision === 0;
     const limit = isFirst ? 1 : MAX_CONCURRENT_PULLS;
     if (this.activePulls.has(peer) || this.activePulls.size >= limit) {
@@ -168,7 +167,7 @@
     this.activePulls.delete(peer);
   }
 
-  /** Waits while a first copy is expected from the source. */
+  /** Waits for the snapshot from the source while it is expected. */
   private async awaitSnapshot(): Promise<void> {
     const {clock, catalog} = this.options;
     const until = this.options.snapshotExpectedUntil();
@@ -180,32 +179,32 @@
     }
   }
 
-  /** Asks a daemon, and those that it names in its place. */
+  /** Pulls from a daemon and follows its referrals. */
   private async pull(
-    giver: number,
-    isWhole: boolean,
-    hops: number,
+    holder: number,
+    pullsAll: boolean,
+    referralsLeft: number,
   ): Promise<void> {
     const {channel, clock, log} = this.options;
     const deadline = clock.now() + PULL_TIMEOUT_MS;
     const update = await channel.pull(
-      giver,
-      this.heldVersions(isWhole),
+      holder,
+      this.heldVersions(pullsAll),
       deadline,
     );
     if (update.isErr()) {
       const cause = update.error.message;
-      log.warn('pull-failed', {peer: formatIpv4(giver), cause});
+      log.warn('pull-failed', {peer: formatIpv4(holder), cause});
       return;
     }
     const {other, waitMs} = update.value;
     if (other === 0) {
       this.apply(update.value);
-    } else if (hops > 0 && other !== this.options.self) {
+    } else if (referralsLeft > 0 && other !== this.options.self) {
       await this.sleepUntil(
         clock.now() + Math.min(waitMs, MAX_REFERRAL_WAIT_MS),
       );
-      await this.pull(other, isWhole, hops - 1);
+      await this.pull(other, pullsAll, referralsLeft - 1);
     }
   }
 
@@ -215,13 +214,13 @@
     });
   }
 
-  private heldVersions(isWhole: boolean): HeldVersions {
+  private heldVersions(pullsAll: boolean): HeldVersions {
     const {catalog, self} = this.options;
     const {routeVersion, serverRevision, serverDigest} = catalog.stamp;
     return {
       asker: self,
       routeVersion,
-      serverRevision: isWhole ? 0 : serverRevision,
+      serverRevision: pullsAll ? 0 : serverRevision,
       serverDigest,
     };
   }
--- a/src/catalog/catalog-messages.ts
+++ b/src/catalog/catalog-messages.ts
@@ -1,4 +1,4 @@
-/** Catalog records as messages between daemons, and back. */
+/** Converts catalog records to the messages that daemons exchange, and back. */
 import {Result, err, ok} from 'neverthrow';
 import {
   CatalogUpdate,
@@ -21,29 +21,29 @@
 } from './records.js';
 import type {KnownRoute} from './route-table.js';
 
-/** Longer spans are sent as this: one hour, in milliseconds. */
+/** Longer durations are sent as one hour. */
 const MAX_DURATION_MS = 3_600_000;
 
-/** Milliseconds since `at`, as they are sent. */
+/** Encodes the time since `at`, in milliseconds. */
 export function encodeAge(at: number, now: number): number {
   return encodeDuration(at, now);
 }
 
-/** Milliseconds from one time to a later one, as they are sent; 0 if it is not later. */
+/** Encodes the time between two times, in milliseconds; 0 if the second is earlier. */
 function encodeDuration(from: number, to: number): number {
   return Math.round(Math.min(MAX_DURATION_MS, Math.max(0, to - from)));
 }
 
-/** A reader's mark, with its time as an age. */
+/** Encodes a reader status, with its time as an age. */
 export function encodeReaderStatus(
-  mark: ReaderStatus,
+  status: ReaderStatus,
   now: number,
 ): ReadMarkMessage {
-  const {reader, failureDomain, capacity, state, at} = mark;
+  const {reader, failureDomain, capacity, state, at} = status;
   return {reader, failureDomain, capacity, state, ageMs: encodeAge(at, now)};
 }
 
-/** The inverse of `encodeMark`. */
+/** The inverse of `encodeReaderStatus`. */
 export function decodeReaderStatus(
   message: ReadMarkMessage,
   now: number,
@@ -52,7 +52,7 @@
   return {reader, failureDomain, capacity, state, at: now - ageMs};
 }
 
-/** The versions of a daemon that has no copy; it is nobody's asker. */
+/** The versions held by an unnamed daemon without a catalog. */
 const NO_VERSIONS: HeldVersions = {
   asker: 0,
   routeVersion: 0,
@@ -60,7 +60,7 @@
   serverDigest: 0,
 };
 
-/** What a daemon that holds these versions lacks. */
+/** Builds the update that brings a daemon with the held versions up to date. */
 export function updateFor(
   catalog: Catalog,
   held: HeldVersions,
@@ -82,7 +82,7 @@
   };
 }
 
-/** Takes a peer's answer; the ages in it count back from `now`. */
+/** Applies an update from a peer; the ages in it are relative to `now`. */
 export function applyUpdate(
   catalog: Catalog,
   update: CatalogUpdate,
@@ -96,12 +96,12 @@
   }
 }
 
-/** All that a catalog holds, for daemons that start. */
+/** Encodes a whole catalog for daemons that start. */
 export function encodeSnapshot(catalog: Catalog, now: number): Uint8Array {
   return CatalogUpdate.encode(updateFor(catalog, NO_VERSIONS, now)).finish();
 }
 
-/** The inverse of `encodeWhole`; the error is the cause as text. */
+/** The inverse of `encodeSnapshot`; the error is the cause as text. */
 export function decodeSnapshot(
   bytes: Uint8Array,
   now: number,
@@ -111,7 +111,7 @@
     String,
   )().andThen(({routes, servers}) =>
     routes === undefined || servers?.whole !== true
-      ? err('no whole copy')
+      ? err('snapshot lacks routes or a complete server list')
       : ok({
           routes: decodeRouteList(routes),
           servers: decodeServerList(servers, now),
@@ -150,7 +150,7 @@
 function decodeRouteList(list: RouteList): RouteListing {
   const {version, coldServices} = list;
   const routes = list.routes.map(decodeRoute);
-  // A configuration names some service, so none means that they were not told.
+  // A configuration names at least one service: an empty list means unknown.
   const services = list.services.length === 0 ? undefined : list.services;
   return {version, routes, coldServices, services};
 }
@@ -189,16 +189,16 @@
   };
 }
 
-/** A span that may be unbounded, as it is sent: 0 stands for none. */
-function encodeOptionalDuration(span: number): number {
-  return span === Infinity ? 0 : Math.round(span);
+/** Encodes a duration that may be Infinity, which is sent as 0. */
+function encodeOptionalDuration(durationMs: number): number {
+  return durationMs === Infinity ? 0 : Math.round(durationMs);
 }
 
-function decodeOptionalDuration(span: number): number {
-  return span === 0 ? Infinity : span;
+function decodeOptionalDuration(durationMs: number): number {
+  return durationMs === 0 ? Infinity : durationMs;
 }
 
-/** The changes since a revision, or the whole list where they are not known. */
+/** Encodes the changes since a revision, or the whole list if they are not known. */
 function encodeServerList(
   catalog: Catalog,
   since: number,
@@ -219,7 +219,7 @@
   };
 }
 
-/** The state is sent as a flag and the deadline as the time that is left. */
+/** Encodes a server, with the end of its cold phase as the time remaining. */
 function encodeServer(server: CatalogServer, now: number): ServerEntry {
   const {id, service, address, port, failureDomain, slots} = server;
   const {createdRevision, revision, startTime} = server;
@@ -239,8 +239,8 @@
 }
 
 /**
- * The inverse of `encodeServer`. Fields stand in the order in which the store's
- * entries are decoded, so that the router meets servers of one shape.
+ * The inverse of `encodeServer`. Fields are in the order in which the store's entries
+ * are decoded, so that all servers share one hidden class in the router.
  */
 function decodeServer(entry: ServerEntry, now: number): CatalogServer {
   const {id, service, address, port, failureDomain, slots} = entry;
