--- a/src/catalog/snapshot-reader.ts
+++ b/src/catalog/snapshot-reader.ts
@@ -1,6 +1,6 @@
 /**
- * The start from the copy that daemons keep at the source, where the instance's link is
- * slow enough for its shortness to count (copy-keeper.ts).
+ * Reads the catalog snapshot that `SnapshotWriter` stores at the source, for daemons
+ * that start on a link slow enough for the smaller size to matter.
  */
 import type {ResultAsync} from 'neverthrow';
 import type {
@@ -12,46 +12,46 @@
 import type {Log} from '../ports/log.js';
 import {decodeSnapshot} from './catalog-messages.js';
 
-/** Length of a long published list, in kilobits: 250 routes and 105 servers. */
+/** Size of a published list of 250 routes and 105 servers. */
 const REFERENCE_LIST_KILOBITS = 1_200;
-/** Time on the link that is worth asking for the kept copy first, in milliseconds. */
+/** Transfer time of that list above which the snapshot is read first. */
 const MIN_TRANSFER_MS = 5;
 
-/** What a kept copy is read with. */
+/** Dependencies and settings of `SnapshotReader`. */
 export interface SnapshotReaderOptions {
   readonly source: CatalogSource;
   readonly clock: Clock;
   readonly log: Log;
-  /** What the instance's link carries, in megabits a second. */
+  /** Bandwidth of the instance's link, in megabits per second. */
   readonly linkMbps: number;
 }
 
-/** Reads the kept copy for one daemon that starts. */
+/** Reads the snapshot for one daemon that starts. */
 export class SnapshotReader {
   private constructor(private readonly options: SnapshotReaderOptions) {}
 
-  /** Creates a reader of the kept copy. */
+  /** Creates a snapshot reader. */
   static create(options: SnapshotReaderOptions): SnapshotReader {
     return new SnapshotReader(options);
   }
 
-  /** Whether it is worth a call: on an ample link the published list is as fast. */
+  /** Whether to read the snapshot first; on a fast link the list is as quick to read. */
   get isPreferred(): boolean {
     return REFERENCE_LIST_KILOBITS / this.options.linkMbps > MIN_TRANSFER_MS;
   }
 
   /**
-   * Reads the kept copy by a deadline, in monotonic milliseconds; undefined when there
-   * is none that can be read.
+   * Reads the snapshot by a deadline in monotonic milliseconds; undefined if there is
+   * none or it cannot be decoded.
    */
   read(
     deadline: number,
   ): ResultAsync<CatalogReading | undefined, SourceFailure> {
     const {source, clock, log} = this.options;
-    return source.readSnapshot(deadline).map(copy =>
-      copy === undefined
+    return source.readSnapshot(deadline).map(snapshot =>
+      snapshot === undefined
         ? undefined
-        : decodeSnapshot(copy.bytes, clock.now()).match(
+        : decodeSnapshot(snapshot.bytes, clock.now()).match(
             reading => reading,
             cause => {
               log.warn('kept-copy-unreadable', {cause});
--- a/src/catalog/snapshot-writer.ts
+++ b/src/catalog/snapshot-writer.ts
@@ -1,12 +1,7 @@
 /**
- * The copy that daemons keep at the source for daemons that start: all routes and
- * servers, as daemons send them to each other. One daemon writes it, the first of those
- * that wait for events, when what it holds has changed.
- *
- * The pattern answered: all instances of a fleet on slow links lose power at once. The
- * published list names every route and server in words, 150 kB of 250 routes and 105
- * servers, which a link of 7 Mbit/s takes 0.17 s to carry while no request is served;
- * the kept copy of the same has some 20 kB.
+ * Stores catalog snapshots at the source for daemons that start. The first reader writes
+ * a snapshot when the catalog has changed. It is a fraction of the size of the published
+ * list, whose transfer would delay service on slow links after a loss of all instances.
  */
 import type {CatalogSource} from '../ports/catalog-source.js';
 import type {Clock} from '../ports/clock.js';
@@ -14,28 +9,23 @@
 import {encodeSnapshot} from './catalog-messages.js';
 import type {Catalog} from './catalog.js';
 
-/** Length of what a route and a server take in the published list, in bytes. */
+/** Estimated size of a route and of a server in the published list. */
 const PUBLISHED_ROUTE_BYTES = 300;
 const PUBLISHED_SERVER_BYTES = 350;
-/** Length of a published list from which on a copy is kept, in bytes. */
+/** Estimated size of the published list from which on snapshots are stored. */
 const MIN_LIST_BYTES = 32_768;
-/** Longest copy that is kept, in bytes: values of a store are bounded. */
+/** Limits the snapshot's size, since the store limits its values. */
 const MAX_SNAPSHOT_BYTES = 512 * 1_024;
-/**
- * Shortest time between two writes, in milliseconds. A daemon that starts from a copy
- * of then lacks what changed since, until it reads on.
- */
 const MIN_WRITE_INTERVAL_MS = 2_000;
-/** Longest wait for the answer to a write, in milliseconds. */
 const WRITE_TIMEOUT_MS = 500;
 
-/** What a kept copy holds, as far as it is known. */
+/** Versions in a snapshot. */
 interface SnapshotVersions {
   readonly routeVersion: number;
   readonly serverDigest: number;
 }
 
-/** What a keeper is made from. */
+/** Dependencies of `SnapshotWriter`. */
 export interface SnapshotWriterOptions {
   readonly catalog: Catalog;
   readonly source: CatalogSource;
@@ -43,23 +33,23 @@
   readonly log: Log;
 }
 
-/** Keeps the copy up to date, where this daemon is the one to do it. */
+/** Keeps the stored snapshot up to date while this daemon is the first reader. */
 export class SnapshotWriter {
-  /** Revision at which the copy was last written, as far as is known; 0: never. */
+  /** Revision at which a snapshot was last known to be written; 0: none known. */
   private revision = 0;
-  /** What this daemon wrote last; undefined once another one wrote. */
+  /** What this daemon wrote last; undefined once another daemon has written. */
   private lastWritten: SnapshotVersions | undefined;
-  /** Monotonic milliseconds before which nothing is written again. */
+  /** Earliest time of the next write; monotonic milliseconds. */
   private nextWriteAt = -Infinity;
 
   private constructor(private readonly options: SnapshotWriterOptions) {}
 
-  /** Creates a keeper that knows of no copy. */
+  /** Creates a writer that knows of no snapshot. */
   static create(options: SnapshotWriterOptions): SnapshotWriter {
     return new SnapshotWriter(options);
   }
 
-  /** Notes that the copy was written at a revision, by this daemon or another one. */
+  /** Records that this daemon or another one wrote a snapshot at a revision. */
   recordWrite(revision: number): void {
     if (revision > this.revision) {
       this.revision = revision;
@@ -67,7 +57,10 @@
     }
   }
 
-  /** Writes what the catalog holds, if the kept copy is another and it is time. */
+  /**
+   * Writes a snapshot if the catalog has changed since the last one and is large enough,
+   * at a limited rate. A failed write is logged, and repeated by a later call.
+   */
   async write(): Promise<void> {
     const {catalog, source, clock, log} = this.options;
     const now = clock.now();
@@ -85,12 +78,12 @@
       return;
     }
     const deadline = now + WRITE_TIMEOUT_MS;
-    const written = await source.writeSnapshot(bytes, this.revision, deadline);
-    written.match(
+    const result = await source.writeSnapshot(bytes, this.revision, deadline);
+    result.match(
       ({isDone, revision}) => {
         this.revision = revision;
         this.lastWritten = isDone ? held : undefined;
-        // Another daemon's write was not known: this one may follow it at once.
+        // Lost to a write of another daemon that was not known: retry without delay.
         this.nextWriteAt = isDone ? this.nextWriteAt : now;
         log.info('copy-kept', {isDone, revision, bytes: bytes.length});
       },
@@ -106,15 +99,15 @@
 
 function isEqual(
   held: SnapshotVersions,
-  kept: SnapshotVersions | undefined,
+  stored: SnapshotVersions | undefined,
 ): boolean {
   return (
-    held.routeVersion === kept?.routeVersion &&
-    held.serverDigest === kept.serverDigest
+    held.routeVersion === stored?.routeVersion &&
+    held.serverDigest === stored.serverDigest
   );
 }
 
-/** Whether the published list is so long that a copy gains anything. */
+/** Whether the published list is large enough for a snapshot to save time. */
 function isWorthStoring(catalog: Catalog): boolean {
   const bytes =
     catalog.allRoutes().length * PUBLISHED_ROUTE_BYTES +
