--- a/src/catalog/bootstrapping-peers.ts
+++ b/src/catalog/bootstrapping-peers.ts
@@ -1,37 +1,40 @@
 /**
- * Daemons that said they have no copy of the catalog yet. Those that started with a
- * fleet know a few addresses alone, and ask there before anyone has a copy.
+ * Tracks the peers that have no catalog yet. When a fleet starts, they ask the few seeds
+ * that they know before any daemon has one, and have to be notified later.
  */
 
-/** Time for which a daemon counts as one that seeks a copy, in milliseconds. */
+/** How long a peer counts as bootstrapping after it last reported so. */
 const BOOTSTRAP_TTL_MS = 1_500;
-/** Daemons remembered; 250 bytes to each take a slow link of 14 Mbit/s 36 ms. */
+/** Limits the burst of heartbeats, of 250 bytes each, that notifies all of them. */
 const MAX_PEERS = 256;
 
-/** The seekers that one daemon heard of. */
+/** The bootstrapping peers that one daemon knows. */
 export class BootstrappingPeers {
-  /** When each last said so; monotonic milliseconds. */
-  private readonly heardAt = new Map<number, number>();
+  /** When each last reported that it has no catalog; monotonic milliseconds. */
+  private readonly reportedAt = new Map<number, number>();
 
   private constructor() {}
 
-  /** Creates a record without seekers. */
+  /** Creates an empty set. */
   static create(): BootstrappingPeers {
     return new BootstrappingPeers();
   }
 
-  /** Notes whether a daemon has a copy, by its own word. */
+  /** Records whether a peer reports that it has a catalog. */
   record(address: number, hasCopy: boolean, now: number): void {
     if (hasCopy) {
-      this.heardAt.delete(address);
-    } else if (this.heardAt.has(address) || this.heardAt.size < MAX_PEERS) {
-      this.heardAt.set(address, now);
+      this.reportedAt.delete(address);
+    } else if (
+      this.reportedAt.has(address) ||
+      this.reportedAt.size < MAX_PEERS
+    ) {
+      this.reportedAt.set(address, now);
     }
   }
 
-  /** All that have said so of late. */
+  /** Returns the addresses of the peers that were bootstrapping recently. */
   listRecent(now: number): number[] {
-    return [...this.heardAt]
+    return [...this.reportedAt]
       .filter(([, at]) => now - at <= BOOTSTRAP_TTL_MS)
       .map(([address]) => address);
   }
--- a/src/catalog/catalog-transfer-limiter.spec.ts
+++ b/src/catalog/catalog-transfer-limiter.spec.ts
@@ -2,17 +2,17 @@
 import {test} from 'node:test';
 import {CatalogTransferLimiter} from './catalog-transfer-limiter.js';
 
-/** 55 kB, of which a link of 14 Mbit/s takes 32 ms each. */
-const COPY = {routes: 1_400, servers: 205};
+/** 55 kB, which takes 32 ms on a link of 14 Mbit/s. */
+const CATALOG_SIZE = {routes: 1_400, servers: 205};
 const SLOW_MBPS = 14;
 
-test('a daemon on a slow link gives a few copies and names their takers to others', () => {
-  const giver = CatalogTransferLimiter.create(SLOW_MBPS);
+test('a daemon on a slow link sends a few catalogs and refers others to the recipients', () => {
+  const limiter = CatalogTransferLimiter.create(SLOW_MBPS);
   const answers = Array.from({length: 8}, (_asker, index) =>
-    giver.admitOrRefer(100 + index, COPY, 0),
+    limiter.admitOrRefer(100 + index, CATALOG_SIZE, 0),
   );
-  const given = answers.filter(answer => answer === undefined).length;
-  assert.ok(given >= 2 && given <= 4, `${given} given`);
+  const admitted = answers.filter(answer => answer === undefined).length;
+  assert.ok(admitted >= 2 && admitted <= 4, `${admitted} admitted`);
   answers.forEach((answer, index) => {
     if (answer !== undefined) {
       assert.ok(answer.other >= 100 && answer.other < 100 + index);
@@ -21,39 +21,39 @@
   });
 });
 
-test('takers are named in turn, and never to themselves', () => {
-  const giver = CatalogTransferLimiter.create(SLOW_MBPS);
+test('referrals alternate between recipients and never name the asker', () => {
+  const limiter = CatalogTransferLimiter.create(SLOW_MBPS);
   Array.from({length: 3}, (_asker, index) =>
-    giver.admitOrRefer(1 + index, COPY, 0),
+    limiter.admitOrRefer(1 + index, CATALOG_SIZE, 0),
   );
-  const named = Array.from(
+  const referred = Array.from(
     {length: 9},
-    () => giver.admitOrRefer(9, COPY, 0)?.other,
+    () => limiter.admitOrRefer(9, CATALOG_SIZE, 0)?.other,
   );
-  assert.ok(new Set(named).size >= 2, named.join(' '));
-  const toTaker = Array.from(
+  assert.ok(new Set(referred).size >= 2, referred.join(' '));
+  const referredRecipient = Array.from(
     {length: 9},
-    () => giver.admitOrRefer(1, COPY, 0)?.other,
+    () => limiter.admitOrRefer(1, CATALOG_SIZE, 0)?.other,
   );
-  assert.ok(!toTaker.includes(1));
+  assert.ok(!referredRecipient.includes(1));
 });
 
-test('small copies and copies over an ample link are given to everyone', () => {
+test('small transfers, and all transfers on a fast link, are admitted', () => {
   const slow = CatalogTransferLimiter.create(SLOW_MBPS);
-  const ample = CatalogTransferLimiter.create(10_000);
+  const fast = CatalogTransferLimiter.create(10_000);
   Array.from({length: 100}, (_asker, index) => {
     assert.equal(
       slow.admitOrRefer(index, {routes: 1, servers: 20}, 0),
       undefined,
     );
-    assert.equal(ample.admitOrRefer(index, COPY, 0), undefined);
+    assert.equal(fast.admitOrRefer(index, CATALOG_SIZE, 0), undefined);
   });
 });
 
-test('a link that has had time gives again', () => {
-  const giver = CatalogTransferLimiter.create(SLOW_MBPS);
+test('transfers are admitted again once the queue has drained', () => {
+  const limiter = CatalogTransferLimiter.create(SLOW_MBPS);
   Array.from({length: 10}, (_asker, index) =>
-    giver.admitOrRefer(1 + index, COPY, 0),
+    limiter.admitOrRefer(1 + index, CATALOG_SIZE, 0),
   );
-  assert.equal(giver.admitOrRefer(50, COPY, 1_000), undefined);
+  assert.equal(limiter.admitOrRefer(50, CATALOG_SIZE, 1_000), undefined);
 });
--- a/src/catalog/catalog-transfer-limiter.ts
+++ b/src/catalog/catalog-transfer-limiter.ts
@@ -1,81 +1,79 @@
 /**
- * How many daemons one daemon gives whole copies to at once. Its link carries one copy
- * after the other, so a daemon that asks while others wait is told who has got one
- * since: copies spread as a tree, and nobody sends more than its link bears.
- *
- * The pattern answered: all daemons of a large fleet start at once, know the same three
- * addresses, and a copy takes a slow link 30 ms or more.
+ * Limits the catalog transfers of one daemon to the bandwidth of its link. While others
+ * are queued, further daemons are referred to those that have received the catalog
+ * since, so that it spreads as a tree when a large fleet starts from a few seeds.
  */
-/** Estimated length of a route and of a server in a copy, in bytes. */
+
+/** Estimated size of a route and of a server in a transfer. */
 const ROUTE_BYTES = 30;
 const SERVER_BYTES = 65;
-/** Copies up to this length are given to everyone at once, in bytes. */
+/** Transfers up to this size are always admitted. */
 const MAX_UNLIMITED_BYTES = 4_096;
-/** Time that a copy may wait for its turn in any case, in milliseconds. */
+/** Queueing delay up to which a transfer is admitted rather than referred. */
 const MAX_QUEUE_MS = 40;
-/** Time after its last byte left until a copy is there and can be given on. */
+/** Time from the last byte sent until the recipient can serve the catalog. */
 const DELIVERY_MS = 10;
-/** Daemons with a copy that are remembered. */
 const MAX_RECIPIENTS = 16;
-/** Time for which a daemon that took a copy is named, in milliseconds. */
+/** How long others are referred to a recipient once it has the catalog. */
 const RECIPIENT_TTL_MS = 2_000;
 const BITS_PER_BYTE = 8;
 const BITS_PER_MS_PER_MBPS = 1_000;
 
-/** A daemon that was given a copy. */
+/** A daemon that was sent the catalog. */
 interface Recipient {
   readonly address: number;
-  /** When it has the copy; monotonic milliseconds. */
+  /** When it has the catalog; monotonic milliseconds. */
   readonly readyAt: number;
 }
 
-/** Another daemon to ask, and when. */
+/** Another daemon to pull from, and when. */
 export interface Referral {
+  /** Its IPv4 address as an unsigned number. */
   readonly other: number;
-  /** Milliseconds until it has a copy. */
+  /** Milliseconds until it has the catalog. */
   readonly waitMs: number;
 }
 
-/** The copies that one daemon gives. */
+/** Admits or refers the transfers that one daemon is asked for. */
 export class CatalogTransferLimiter {
   private recipients: Recipient[] = [];
-  /** When the link has carried all copies given so far; monotonic milliseconds. */
+  /** When the link will have sent all admitted transfers; monotonic milliseconds. */
   private busyUntil = -Infinity;
-  /** Referrals so far. */
+  /** Selections among recipients so far, for round robin. */
   private referrals = 0;
 
   private constructor(private readonly linkMbps: number) {}
 
-  /** Creates the giver of a daemon whose link carries some megabits a second. */
+  /** Creates a limiter for a link of some megabits per second. */
   static create(linkMbps: number): CatalogTransferLimiter {
     return new CatalogTransferLimiter(linkMbps);
   }
 
   /**
-   * Whom to ask in place of this one for a copy of some length; undefined when this one
-   * gives it, which counts as done.
+   * Returns the daemon to pull from instead, or undefined if the transfer is admitted.
+   * Its time on the link is then reserved, and the asker recorded as a recipient.
    */
   admitOrRefer(
     asker: number,
-    copy: {routes: number; servers: number},
+    size: {routes: number; servers: number},
     now: number,
   ): Referral | undefined {
-    const bytes = copy.routes * ROUTE_BYTES + copy.servers * SERVER_BYTES;
+    const bytes = size.routes * ROUTE_BYTES + size.servers * SERVER_BYTES;
     if (bytes <= MAX_UNLIMITED_BYTES) {
       return undefined;
     }
-    const begin = Math.max(now, this.busyUntil);
-    const taker =
-      begin - now > MAX_QUEUE_MS
-        ? this.nextRecipient(asker, now, begin + DELIVERY_MS)
+    const startAt = Math.max(now, this.busyUntil);
+    const recipient =
+      startAt - now > MAX_QUEUE_MS
+        ? this.nextRecipient(asker, now, startAt + DELIVERY_MS)
         : undefined;
-    if (taker !== undefined) {
-      const waitMs = Math.max(0, Math.ceil(taker.readyAt - now));
-      return {other: taker.address, waitMs};
+    if (recipient !== undefined) {
+      const waitMs = Math.max(0, Math.ceil(recipient.readyAt - now));
+      return {other: recipient.address, waitMs};
     }
-    const takesMs =
+    const durationMs =
       (bytes * BITS_PER_BYTE) / (this.linkMbps * BITS_PER_MS_PER_MBPS);
-    this.busyUntil = begin + takesMs;
+    this.busyUntil = startAt + durationMs;
     this.recordRecipient({
       address: asker,
       readyAt: this.busyUntil + DELIVERY_MS,
@@ -84,28 +82,28 @@
   }
 
   /**
-   * The daemons that took a copy of late, and have it before this one could begin to
-   * send another, are named in turn.
+   * Selects a recent recipient by round robin, among those that have the catalog before
+   * this daemon could start another transfer.
    */
   private nextRecipient(
     asker: number,
     now: number,
     readyBy: number,
   ): Recipient | undefined {
-    const known = this.recipients.filter(
+    const eligible = this.recipients.filter(
       ({address, readyAt}) =>
         address !== asker &&
         readyAt <= readyBy &&
         now - readyAt <= RECIPIENT_TTL_MS,
     );
     this.referrals += 1;
-    return known[this.referrals % Math.max(1, known.length)];
+    return eligible[this.referrals % Math.max(1, eligible.length)];
   }
 
-  private recordRecipient(taker: Recipient): void {
+  private recordRecipient(recipient: Recipient): void {
     const others = this.recipients.filter(
-      ({address}) => address !== taker.address,
+      ({address}) => address !== recipient.address,
     );
-    this.recipients = [...others, taker].slice(-MAX_RECIPIENTS);
+    this.recipients = [...others, recipient].slice(-MAX_RECIPIENTS);
   }
 }
