--- a/src/catalog/catalog-messages.ts
+++ b/src/catalog/catalog-messages.ts
@@ -1,4 +1,4 @@
-/** Catalog records as messages between daemons, and back. */
+/** Converts catalog records to the messages that daemons exchange, and back. */
 import {Result, err, ok} from 'neverthrow';
 import {
   CatalogUpdate,
@@ -21,29 +21,29 @@
 } from './records.js';
 import type {KnownRoute} from './route-table.js';
 
-/** Longer spans are sent as this: one hour, in milliseconds. */
-const LONGEST_SPAN_MS = 3_600_000;
+/** Longer durations are sent as one hour. */
+const MAX_DURATION_MS = 3_600_000;
 
-/** Milliseconds since `at`, as they are sent. */
-export function ageOf(at: number, now: number): number {
-  return spanBetween(at, now);
+/** Encodes the time since `at`, in milliseconds. */
+export function encodeAge(at: number, now: number): number {
+  return encodeDuration(at, now);
 }
 
-/** Milliseconds from one time to a later one, as they are sent; 0 if it is not later. */
-function spanBetween(from: number, to: number): number {
-  return Math.round(Math.min(LONGEST_SPAN_MS, Math.max(0, to - from)));
+/** Encodes the time between two times, in milliseconds; 0 if the second is earlier. */
+function encodeDuration(from: number, to: number): number {
+  return Math.round(Math.min(MAX_DURATION_MS, Math.max(0, to - from)));
 }
 
-/** A reader's mark, with its time as an age. */
+/** Encodes a reader status, with its time as an age. */
 export function encodeReaderStatus(
-  mark: ReaderStatus,
+  status: ReaderStatus,
   now: number,
 ): ReadMarkMessage {
-  const {reader, failureDomain, capacity, state, at} = mark;
-  return {reader, failureDomain, capacity, state, ageMs: ageOf(at, now)};
+  const {reader, failureDomain, capacity, state, at} = status;
+  return {reader, failureDomain, capacity, state, ageMs: encodeAge(at, now)};
 }
 
-/** The inverse of `encodeMark`. */
+/** The inverse of `encodeReaderStatus`. */
 export function decodeReaderStatus(
   message: ReadMarkMessage,
   now: number,
@@ -52,15 +52,15 @@
   return {reader, failureDomain, capacity, state, at: now - ageMs};
 }
 
-/** The versions of a daemon that has no copy; it is nobody's asker. */
-const NOTHING_HELD: HeldVersions = {
+/** The versions held by an unnamed daemon without a catalog. */
+const NO_VERSIONS: HeldVersions = {
   asker: 0,
   routeVersion: 0,
   serverRevision: 0,
   serverDigest: 0,
 };
 
-/** What a daemon that holds these versions lacks. */
+/** Builds the update that brings a daemon with the held versions up to date. */
 export function updateFor(
   catalog: Catalog,
   held: HeldVersions,
@@ -72,36 +72,36 @@
   return {
     routes:
       stamp.routeVersion > held.routeVersion
-        ? encodeRoutes(catalog, now)
+        ? encodeRouteList(catalog, now)
         : undefined,
     servers: lacksServers
-      ? encodeServers(catalog, held.serverRevision, now)
+      ? encodeServerList(catalog, held.serverRevision, now)
       : undefined,
     other: 0,
     waitMs: 0,
   };
 }
 
-/** Takes a peer's answer; the ages in it count back from `now`. */
+/** Applies an update from a peer; the ages in it are relative to `now`. */
 export function applyUpdate(
   catalog: Catalog,
   update: CatalogUpdate,
   now: number,
 ): void {
   if (update.routes !== undefined) {
-    applyRoutes(catalog, update.routes, now);
+    applyRouteList(catalog, update.routes, now);
   }
   if (update.servers !== undefined) {
-    applyServers(catalog, update.servers, now);
+    applyServerList(catalog, update.servers, now);
   }
 }
 
-/** All that a catalog holds, for daemons that start. */
+/** Encodes a whole catalog for daemons that start. */
 export function encodeSnapshot(catalog: Catalog, now: number): Uint8Array {
-  return CatalogUpdate.encode(updateFor(catalog, NOTHING_HELD, now)).finish();
+  return CatalogUpdate.encode(updateFor(catalog, NO_VERSIONS, now)).finish();
 }
 
-/** The inverse of `encodeWhole`; the error is the cause as text. */
+/** The inverse of `encodeSnapshot`; the error is the cause as text. */
 export function decodeSnapshot(
   bytes: Uint8Array,
   now: number,
@@ -111,18 +111,22 @@
     String,
   )().andThen(({routes, servers}) =>
     routes === undefined || servers?.whole !== true
-      ? err('no whole copy')
+      ? err('snapshot lacks routes or a complete server list')
       : ok({
-          routes: decodeRoutes(routes),
-          servers: decodeListing(servers, now),
+          routes: decodeRouteList(routes),
+          servers: decodeServerList(servers, now),
         }),
   );
 }
 
-function applyServers(catalog: Catalog, list: ServerList, now: number): void {
+function applyServerList(
+  catalog: Catalog,
+  list: ServerList,
+  now: number,
+): void {
   const {removed, revision, evacuated, whole} = list;
   const confirmedAt = now - list.ageMs;
-  const listing = decodeListing(list, now);
+  const listing = decodeServerList(list, now);
   if (whole) {
     catalog.takeServers(listing, confirmedAt);
   } else {
@@ -132,30 +136,30 @@
   }
 }
 
-function applyRoutes(catalog: Catalog, list: RouteList, now: number): void {
-  catalog.takeRoutes(decodeRoutes(list), now - list.ageMs);
+function applyRouteList(catalog: Catalog, list: RouteList, now: number): void {
+  catalog.takeRoutes(decodeRouteList(list), now - list.ageMs);
 }
 
-function decodeListing(list: ServerList, now: number): ServerListing {
+function decodeServerList(list: ServerList, now: number): ServerListing {
   const {revision, evacuated} = list;
   const servers = list.servers.map(entry => decodeServer(entry, now));
   const unreadable = list.unreadable.map(entry => ({...entry, cause: ''}));
   return {revision, servers, unreadable, evacuated};
 }
 
-function decodeRoutes(list: RouteList): RouteListing {
+function decodeRouteList(list: RouteList): RouteListing {
   const {version, coldServices} = list;
   const routes = list.routes.map(decodeRoute);
-  // A configuration names some service, so none means that they were not told.
+  // A configuration names at least one service: an empty list means unknown.
   const services = list.services.length === 0 ? undefined : list.services;
   return {version, routes, coldServices, services};
 }
 
-function encodeRoutes(catalog: Catalog, now: number): RouteList {
+function encodeRouteList(catalog: Catalog, now: number): RouteList {
   const {routeVersion, routesConfirmedAt} = catalog.stamp;
   return {
     version: routeVersion,
-    ageMs: ageOf(routesConfirmedAt, now),
+    ageMs: encodeAge(routesConfirmedAt, now),
     routes: catalog.allRoutes().map(encodeRoute),
     coldServices: [...catalog.coldServices()],
     services: [...(catalog.serviceNames() ?? [])],
@@ -171,8 +175,8 @@
     repeatable,
     regions: [...regions],
     priority,
-    targetMs: encodeSpan(route.targetMs),
-    limitMs: encodeSpan(route.limitMs),
+    targetMs: encodeOptionalDuration(route.targetMs),
+    limitMs: encodeOptionalDuration(route.limitMs),
   };
 }
 
@@ -180,22 +184,22 @@
 function decodeRoute(entry: RouteEntry): CatalogRoute {
   return {
     ...entry,
-    targetMs: decodeSpan(entry.targetMs),
-    limitMs: decodeSpan(entry.limitMs),
+    targetMs: decodeOptionalDuration(entry.targetMs),
+    limitMs: decodeOptionalDuration(entry.limitMs),
   };
 }
 
-/** A span that may be unbounded, as it is sent: 0 stands for none. */
-function encodeSpan(span: number): number {
-  return span === Infinity ? 0 : Math.round(span);
+/** Encodes a duration that may be Infinity, which is sent as 0. */
+function encodeOptionalDuration(durationMs: number): number {
+  return durationMs === Infinity ? 0 : Math.round(durationMs);
 }
 
-function decodeSpan(span: number): number {
-  return span === 0 ? Infinity : span;
+function decodeOptionalDuration(durationMs: number): number {
+  return durationMs === 0 ? Infinity : durationMs;
 }
 
-/** The changes since a revision, or the whole list where they are not known. */
-function encodeServers(
+/** Encodes the changes since a revision, or the whole list if they are not known. */
+function encodeServerList(
   catalog: Catalog,
   since: number,
   now: number,
@@ -206,7 +210,7 @@
   const unreadable = changes?.unreadable ?? catalog.unreadableEntries();
   return {
     revision: serverRevision,
-    ageMs: ageOf(serversConfirmedAt, now),
+    ageMs: encodeAge(serversConfirmedAt, now),
     servers: servers.map(server => encodeServer(server, now)),
     whole: changes === undefined,
     removed: [...(changes?.removed ?? [])],
@@ -215,7 +219,7 @@
   };
 }
 
-/** The state is sent as a flag and the deadline as the time that is left. */
+/** Encodes a server, with the end of its cold phase as the time remaining. */
 function encodeServer(server: CatalogServer, now: number): ServerEntry {
   const {id, service, address, port, failureDomain, slots} = server;
   const {createdRevision, revision, startTime} = server;
@@ -227,7 +231,7 @@
     failureDomain,
     slots,
     draining: server.state === ServerState.DRAINING,
-    coldMs: spanBetween(now, server.coldUntil),
+    coldMs: encodeDuration(now, server.coldUntil),
     createdRevision,
     revision,
     startTime,
@@ -235,8 +239,8 @@
 }
 
 /**
- * The inverse of `encodeServer`. Fields stand in the order in which the store's
- * entries are decoded, so that the router meets servers of one shape.
+ * The inverse of `encodeServer`. Fields are in the order in which the store's entries
+ * are decoded, so that all servers share one hidden class in the router.
  */
 function decodeServer(entry: ServerEntry, now: number): CatalogServer {
   const {id, service, address, port, failureDomain, slots} = entry;
