--- a/src/feedback/server-ratings.ts
+++ b/src/feedback/server-ratings.ts
@@ -16,7 +16,7 @@
 }
 
 /** The rating of a server of which nothing is known, or nothing unusual. */
-export const USUAL_RATING: ServerRating = {weight: 1, isEjected: false};
+export const NEUTRAL_RATING: ServerRating = {weight: 1, isEjected: false};
 
 /** Ratings of the servers of all services. */
 export abstract class ServerRatings {
@@ -36,6 +36,6 @@
   }
 
   ratingOf(): ServerRating {
-    return USUAL_RATING;
+    return NEUTRAL_RATING;
   }
 }
--- a/src/routing/cold-openings.spec.ts
+++ b/src/routing/cold-openings.spec.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {ColdOpenings} from './cold-openings.js';
+import {ColdStartLimiter} from './cold-openings.js';
 import {Random} from './random.js';
 
 const LIMITS = {excess: 1.5, slack: 5};
@@ -29,7 +29,7 @@
 function playAllCold({daemons, counted, openingsPerMs}: Load): Openings {
   const random = Random.create(7);
   const fleet = Array.from({length: daemons}, (_daemon, index) =>
-    ColdOpenings.create(LIMITS, Random.createOwn(index, 0)),
+    ColdStartLimiter.create(LIMITS, Random.createOwn(index, 0)),
   );
   const openings = new Map<string, number[]>();
   Array.from({length: LASTS_MS * openingsPerMs}, (_opening, index) => {
@@ -37,7 +37,7 @@
     const daemon = fleet[random.below(daemons)];
     const server = SERVERS.find(id => daemon.admits(id, RATE, counted, now));
     if (server !== undefined) {
-      daemon.noteOpening(server, RATE, counted, now);
+      daemon.recordOpening(server, RATE, counted, now);
       openings.set(server, [...(openings.get(server) ?? []), now]);
     }
   });
@@ -72,7 +72,7 @@
 );
 
 test('chances that nobody used are not saved up for a storm', () => {
-  const daemon = ColdOpenings.create(LIMITS, Random.create(3));
+  const daemon = ColdStartLimiter.create(LIMITS, Random.create(3));
   const admitted = SERVERS.filter(id => daemon.admits(id, RATE, 90, 0));
   assert.deepEqual(admitted, []);
   // An hour later each server's chance has come and gone.
@@ -81,7 +81,10 @@
 });
 
 test('a rate that leaves nothing to chance admits nobody', () => {
-  const daemon = ColdOpenings.create({excess: 1, slack: 0}, Random.create(3));
+  const daemon = ColdStartLimiter.create(
+    {excess: 1, slack: 0},
+    Random.create(3),
+  );
   const times = Array.from({length: 1_000}, (_time, index) => index * 10);
   assert.ok(times.every(now => !daemon.admits('s-1', 1, 90, now)));
 });
--- a/src/routing/cold-openings.ts
+++ b/src/routing/cold-openings.ts
@@ -21,27 +21,27 @@
  * Chance, in any second, that the openings of a fleet pass what a cold server takes:
  * 5,600 servers that are cold for 2 s each day pass it once in 250 years.
  */
-const EXCESS_CHANCE = 1e-9;
+const OVERLOAD_PROBABILITY = 1e-9;
 /**
  * Requests that a new flow brings within a second: one, and one more by half of the
  * flows that go on.
  */
-const REQUESTS_A_FLOW = 1.5;
+const REQUESTS_PER_FLOW = 1.5;
 /** By how much the daemons may be more than this one knows of. */
-const COUNT_ERROR = 2;
+const DAEMON_COUNT_FACTOR = 2;
 /**
  * Time for which a chance to open a flow lasts, in milliseconds: that of a few openings
  * at a daemon that sees some ten a second. Chances are not saved up: those of many
  * daemons would be used together when callers come at once.
  */
-const CHANCE_MS = 100;
+const PERMIT_LIFETIME_MS = 100;
 /** Time after which a chance that nobody used is forgotten, in milliseconds. */
-const FORGET_MS = 10_000;
-const SECOND_MS = 1_000;
+const PERMIT_RETENTION_MS = 10_000;
+const MS_PER_SECOND = 1_000;
 /** Steps of the search for a rate; each halves its error. */
-const SEARCH_STEPS = 30;
+const BISECTION_STEPS = 30;
 /** Terms of a tail that are added up; they fall by half each or faster. */
-const TAIL_TERMS = 40;
+const POISSON_TAIL_TERMS = 40;
 
 /** What a cold server takes beyond the rate that its service states. */
 export interface ColdLimits {
@@ -52,9 +52,9 @@
 }
 
 /** The flows that one daemon opens at cold servers. */
-export class ColdOpenings {
+export class ColdStartLimiter {
   /** When the next chance begins at each server; monotonic milliseconds. */
-  private readonly chances = new Map<string, number>();
+  private readonly permitsAt = new Map<string, number>();
   /** Openings a second that a fleet may make at a cold server, by the stated rate. */
   private readonly fleetRates = new Map<number, number>();
 
@@ -64,8 +64,8 @@
   ) {}
 
   /** Creates a record without chances. */
-  static create(limits: ColdLimits, random: Random): ColdOpenings {
-    return new ColdOpenings(limits, random);
+  static create(limits: ColdLimits, random: Random): ColdStartLimiter {
+    return new ColdStartLimiter(limits, random);
   }
 
   /**
@@ -73,52 +73,52 @@
    * states, in requests a second, and `daemons` how many open flows.
    */
   admits(server: string, rate: number, daemons: number, now: number): boolean {
-    const beginsAt = this.chances.get(server);
-    if (beginsAt === undefined || beginsAt + CHANCE_MS <= now) {
-      this.forgetOld(now);
-      this.drawChance(server, rate, daemons, now);
+    const beginsAt = this.permitsAt.get(server);
+    if (beginsAt === undefined || beginsAt + PERMIT_LIFETIME_MS <= now) {
+      this.removeExpired(now);
+      this.schedulePermit(server, rate, daemons, now);
     }
-    return (this.chances.get(server) ?? Infinity) <= now;
+    return (this.permitsAt.get(server) ?? Infinity) <= now;
   }
 
   /** Notes that a flow was opened at a cold server: its chance is used. */
-  noteOpening(
+  recordOpening(
     server: string,
     rate: number,
     daemons: number,
     now: number,
   ): void {
-    this.drawChance(server, rate, daemons, now);
+    this.schedulePermit(server, rate, daemons, now);
   }
 
   /** Chances of one daemon come at exponential gaps, so those of all add up alike. */
-  private drawChance(
+  private schedulePermit(
     server: string,
     rate: number,
     daemons: number,
     now: number,
   ): void {
-    const ownRate = this.fleetRate(rate) / (daemons * COUNT_ERROR);
-    const gapMs = (-Math.log(1 - this.random.next()) * SECOND_MS) / ownRate;
-    this.chances.set(server, now + gapMs);
+    const ownRate = this.fleetRateFor(rate) / (daemons * DAEMON_COUNT_FACTOR);
+    const gapMs = (-Math.log(1 - this.random.next()) * MS_PER_SECOND) / ownRate;
+    this.permitsAt.set(server, now + gapMs);
   }
 
   /** Servers that were not asked for lately are warm, or gone. */
-  private forgetOld(now: number): void {
-    this.chances.forEach((beginsAt, server) => {
-      if (beginsAt + FORGET_MS <= now) {
-        this.chances.delete(server);
+  private removeExpired(now: number): void {
+    this.permitsAt.forEach((beginsAt, server) => {
+      if (beginsAt + PERMIT_RETENTION_MS <= now) {
+        this.permitsAt.delete(server);
       }
     });
   }
 
-  private fleetRate(rate: number): number {
+  private fleetRateFor(rate: number): number {
     const known = this.fleetRates.get(rate);
     if (known !== undefined) {
       return known;
     }
     const {excess, slack} = this.limits;
-    const found = safeRate(Math.floor(rate * excess + slack));
+    const found = computeFleetRate(Math.floor(rate * excess + slack));
     this.fleetRates.set(rate, found);
     return found;
   }
@@ -128,13 +128,13 @@
  * Openings a second, at chance times, that stay within a bound on the requests of any
  * second but for `EXCESS_CHANCE`.
  */
-function safeRate(bound: number): number {
-  const openings = Math.floor(bound / REQUESTS_A_FLOW);
-  const span = 1 + CHANCE_MS / SECOND_MS;
-  const search = Array.from({length: SEARCH_STEPS}).reduce<[number, number]>(
+function computeFleetRate(bound: number): number {
+  const openings = Math.floor(bound / REQUESTS_PER_FLOW);
+  const span = 1 + PERMIT_LIFETIME_MS / MS_PER_SECOND;
+  const search = Array.from({length: BISECTION_STEPS}).reduce<[number, number]>(
     ([low, high]) => {
       const middle = (low + high) / 2;
-      return chanceAbove(openings, middle * span) <= EXCESS_CHANCE
+      return poissonTail(openings, middle * span) <= OVERLOAD_PROBABILITY
         ? [middle, high]
         : [low, middle];
     },
@@ -144,13 +144,15 @@
 }
 
 /** Chance that more than `count` events come where `mean` are expected (Poisson). */
-function chanceAbove(count: number, mean: number): number {
+function poissonTail(count: number, mean: number): number {
   // The first term, and each next one by its ratio to the one before.
   const first = Array.from({length: count + 1}).reduce<number>(
     (term, _factor, index) => (term * mean) / (index + 1),
     Math.exp(-mean),
   );
-  const [chance] = Array.from({length: TAIL_TERMS}).reduce<[number, number]>(
+  const [chance] = Array.from({length: POISSON_TAIL_TERMS}).reduce<
+    [number, number]
+  >(
     ([sum, term], _next, index) => [
       sum + term,
       (term * mean) / (count + 2 + index),
--- a/src/routing/cookie-router.spec.ts
+++ b/src/routing/cookie-router.spec.ts
@@ -65,8 +65,8 @@
     hasher,
     flowLifetimeMs: FLOW_LIFETIME_MS,
   });
-  const work = ServerLoadTracker.create(hasher);
-  const silent: string[] = [];
+  const loadTracker = ServerLoadTracker.create(hasher);
+  const unresponsive: string[] = [];
   const unreachable = new Set<string>();
   catalog.takeServers({revision: 1, servers, evacuated: []}, clock.now());
   catalog.takeRoutes(
@@ -75,13 +75,13 @@
   );
   const router = CookieRouter.create({
     catalog,
-    work,
+    work: loadTracker,
     placement: LeastLoadedPlacement.create(),
     clock,
     random: Random.create(3),
     inForceLimitMs: 3_000,
     counters: MemoryCounters.create(),
-    onSilent: ({id}) => silent.push(id),
+    onSilent: ({id}) => unresponsive.push(id),
     onUnanswered: () => undefined,
     isUnreachable: id => unreachable.has(id),
     regionOf: domain => REGIONS.get(domain),
@@ -90,10 +90,10 @@
     ratings: EqualRatings.create(),
     observer: undefined,
   });
-  return {clock, catalog, work, router, silent, unreachable};
+  return {clock, catalog, loadTracker, router, unresponsive, unreachable};
 }
 
-/** The cookie of a server at a destination, as daemons write it into packets. */
+/** Returns the cookie of a server for a destination, as daemons write it into packets. */
 function cookieAt(
   catalog: Catalog,
   server: CatalogServer,
@@ -112,7 +112,7 @@
   return decision.verdict === 'forward' ? decision.cookie : 0;
 }
 
-test("a copy of an opening goes to another server, a late copy to the flow's own", () => {
+test('a retransmitted opening packet goes to another server, a late one to the server of its flow', () => {
   const {router} = createRouter([serverOf('i-1'), serverOf('i-2')]);
   const first = router.decide(createPacket({opens: true}));
   const second = router.decide(createPacket({opens: true, openCopy: 1}));
@@ -122,7 +122,7 @@
   assert.equal(serverIn(late), serverIn(first));
 });
 
-test('a flow stays at the server that its first packet named, whatever cookie comes later', () => {
+test('a flow stays at the server of its first later packet when another cookie arrives', () => {
   const {router} = createRouter([serverOf('i-1'), serverOf('i-2')]);
   const first = router.decide(createPacket({opens: true}));
   const second = router.decide(createPacket({opens: true, openCopy: 1}));
@@ -131,7 +131,7 @@
   assert.equal(serverIn(later), serverIn(first));
 });
 
-test('any daemon follows a cookie that it has never given out', () => {
+test('a daemon routes by cookies that other daemons issued', () => {
   const servers = [serverOf('i-1'), serverOf('i-2')];
   const opened = createRouter(servers).router.decide(
     createPacket({opens: true}),
@@ -141,7 +141,7 @@
   assert.equal(serverIn(followed), serverIn(opened));
 });
 
-test('an unknown destination is refused aloud only while no route can be in force that is not known', async () => {
+test('an unknown destination is reset only while no unknown route version can be in force', async () => {
   const {router, clock} = createRouter([serverOf('i-1')]);
   const unknown = createPacket({opens: true, destinationPort: 444});
   await clock.advance(2_700);
@@ -150,7 +150,7 @@
   assert.equal(router.decide(unknown).verdict, 'drop');
 });
 
-test('cookies of nobody and of another destination are dropped, never forwarded', () => {
+test('unknown cookies and cookies of another destination are dropped, never forwarded', () => {
   const {router, catalog} = createRouter([
     serverOf('i-1'),
     serverOf('i-9', 'docs'),
@@ -164,23 +164,27 @@
   );
 });
 
-test('a fleet that knows no former version keeps the flows that one opened', async () => {
+test('flows opened under a former route version are kept by daemons that never knew it', async () => {
   const {router, catalog, clock} = createRouter([
     serverOf('i-1'),
     serverOf('i-9', 'docs'),
   ]);
-  // A version before the only one that is known gave the route to 'docs' too.
+  // An earlier route version, unknown to the daemon, also included the service 'docs'.
   const cookie = cookieAt(catalog, serverOf('i-9', 'docs'), ROUTE);
   assert.equal(serverIn(router.decide(createPacket({cookie}))), 'i-9');
   const opening = router.decide(createPacket({opens: true, sourcePort: 2}));
-  assert.equal(serverIn(opening), 'i-1', 'no new flow goes there');
+  assert.equal(serverIn(opening), 'i-1', 'a former service got a new flow');
   await clock.advance(FLOW_LIFETIME_MS);
   catalog.confirmAll(clock.now());
   const late = router.decide(createPacket({cookie, sourcePort: 3}));
-  assert.equal(serverIn(late), 'unknown-cookie', 'no such flow lives any more');
+  assert.equal(
+    serverIn(late),
+    'unknown-cookie',
+    'flows of the former version have exceeded their lifetime',
+  );
 });
 
-test('a cookie that a steady, younger list does not hold belongs to a server that has ended', async () => {
+test('a cookie missing from a newer, authoritative server list belongs to an ended server', async () => {
   const {router, catalog, clock} = createRouter([
     serverOf('i-1'),
     serverOf('i-9', 'docs'),
@@ -189,23 +193,39 @@
     await clock.advance(milliseconds);
     catalog.confirmAll(clock.now());
   };
-  const stranger = createPacket({cookie: 12_345});
-  assert.equal(router.decide(stranger).verdict, 'drop');
+  const unknownPacket = createPacket({cookie: 12_345});
+  assert.equal(router.decide(unknownPacket).verdict, 'drop');
   await confirm(400);
-  assert.equal(router.decide(stranger).verdict, 'drop', 'not steady yet');
+  assert.equal(
+    router.decide(unknownPacket).verdict,
+    'drop',
+    'the server list is not authoritative yet',
+  );
   for (let round = 0; round < 38; round += 1) {
     await confirm(500);
   }
-  router.decide(stranger);
+  router.decide(unknownPacket);
   await confirm(500);
-  assert.equal(router.decide(stranger).verdict, 'drop', 'it may serve on');
+  assert.equal(
+    router.decide(unknownPacket).verdict,
+    'drop',
+    'the server may still be running',
+  );
   await confirm(500);
-  assert.equal(router.decide(stranger).verdict, 'reset');
+  assert.equal(router.decide(unknownPacket).verdict, 'reset');
   const late = createPacket({cookie: 54_321});
-  assert.equal(router.decide(late).verdict, 'drop', 'seen after the read');
+  assert.equal(
+    router.decide(late).verdict,
+    'drop',
+    'the packet is newer than the server list',
+  );
   await confirm(100);
-  assert.equal(router.decide(late).verdict, 'drop', 'read hardly later');
-  // A listed server of a service that no version gave to the route.
+  assert.equal(
+    router.decide(late).verdict,
+    'drop',
+    'the server list is newer by less than the margin',
+  );
+  // A listed server of a service that no route version included.
   for (let round = 0; round < 90; round += 1) {
     await confirm(500);
   }
@@ -215,7 +235,7 @@
   assert.equal(router.decide(createPacket({cookie: foreign})).verdict, 'drop');
 });
 
-test('draining servers get no openings and keep their flows', () => {
+test('draining servers get no new flows and keep their existing ones', () => {
   const {router, catalog} = createRouter([
     serverOf('i-1', 'pay', 'draining'),
     serverOf('i-2'),
@@ -228,29 +248,29 @@
   assert.equal(serverIn(router.decide(createPacket({cookie}))), 'i-1');
 });
 
-test('what the catalog does not hold is refused while it is current, and dropped when it is old', async () => {
+test('packets without a route are reset while the catalog is current, and dropped when it is stale', async () => {
   const {router, clock} = createRouter([serverOf('i-1')]);
-  const stranger = createPacket({opens: true, destinationPort: 80});
-  assert.deepEqual(router.decide(stranger), {
+  const unknownPacket = createPacket({opens: true, destinationPort: 80});
+  assert.deepEqual(router.decide(unknownPacket), {
     verdict: 'reset',
     reason: 'no-route',
   });
   await clock.advance(5_000);
-  assert.deepEqual(router.decide(stranger), {
+  assert.deepEqual(router.decide(unknownPacket), {
     verdict: 'drop',
     reason: 'no-route',
   });
 });
 
-test("a caller's own reset is never answered with a reset", () => {
+test('a reset from a caller is never answered with a reset', () => {
   const {router} = createRouter([serverOf('i-1')]);
-  const given = router.decide(
+  const outcome = router.decide(
     createPacket({resets: true, destinationPort: 80}),
   );
-  assert.equal(given.verdict, 'drop');
+  assert.equal(outcome.verdict, 'drop');
 });
 
-test('flows of a moved route stay, also at a daemon that learns of it from a peer', () => {
+test('flows stay at their server when the route moves to another service', () => {
   const {router, catalog, clock} = createRouter([
     serverOf('i-1'),
     serverOf('i-9', 'docs'),
@@ -267,28 +287,31 @@
   assert.equal(serverIn(fresh), 'i-9');
 });
 
-test('silence of most servers counts for nothing', () => {
-  const {router, work, clock} = createRouter([
+test('no server is avoided when most of them appear unresponsive', () => {
+  const {router, loadTracker, clock} = createRouter([
     serverOf('i-1'),
     serverOf('i-2'),
     serverOf('i-3'),
   ]);
-  work.noteUnanswered('i-1', clock.now());
-  const around = Array.from({length: 30}, (_flow, index) =>
+  loadTracker.recordUnanswered('i-1', clock.now());
+  const firstServers = Array.from({length: 30}, (_flow, index) =>
     serverIn(router.decide(createPacket({opens: true, sourcePort: index}))),
   );
-  assert.equal(around.includes('i-1'), false);
-  work.noteUnanswered('i-2', clock.now());
-  const all = Array.from({length: 30}, (_flow, index) =>
+  assert.equal(firstServers.includes('i-1'), false);
+  loadTracker.recordUnanswered('i-2', clock.now());
+  const laterServers = Array.from({length: 30}, (_flow, index) =>
     serverIn(
       router.decide(createPacket({opens: true, sourcePort: 100 + index})),
     ),
   );
-  assert.equal(new Set(all).size, 3);
+  assert.equal(new Set(laterServers).size, 3);
 });
 
-test('a packet of data sent again is a sign against its server', () => {
-  const {router, silent} = createRouter([serverOf('i-1'), serverOf('i-2')]);
+test('a retransmitted data packet marks its server as unresponsive', () => {
+  const {router, unresponsive} = createRouter([
+    serverOf('i-1'),
+    serverOf('i-2'),
+  ]);
   const opened = router.decide(createPacket({opens: true}));
   const data = createPacket({
     cookie: cookieIn(opened),
@@ -296,12 +319,12 @@
     sequence: 5,
   });
   router.decide(data);
-  assert.deepEqual(silent, []);
+  assert.deepEqual(unresponsive, []);
   router.decide(data);
-  assert.deepEqual(silent, [serverIn(opened)]);
+  assert.deepEqual(unresponsive, [serverIn(opened)]);
 });
 
-test('an older version of the routes changes nothing', () => {
+test('an older route version is ignored', () => {
   const {catalog, clock} = createRouter([serverOf('i-1')]);
   catalog.takeRoutes(
     {version: 5, routes: [ROUTE], coldServices: []},
@@ -312,7 +335,7 @@
   assert.equal(catalog.allRoutes().length, 1);
 });
 
-test('flows of a route that is bound to regions go to their servers alone, and to none if there is none', () => {
+test('a route bound to regions uses only their servers, and refuses flows when there is none', () => {
   const east = serverOf('i-1');
   const west = {...serverOf('i-2'), failureDomain: 'b'};
   const nowhere = {...serverOf('i-3'), failureDomain: 'c'};
@@ -340,7 +363,7 @@
   );
 });
 
-test('a cold server whose service states a rate gets no flow while a warm one is there', async () => {
+test('a cold server with a cold-start rate gets no flow while a warm server is available', async () => {
   const warm = serverOf('i-1');
   const cold = {
     ...serverOf('i-2'),
@@ -363,7 +386,7 @@
   assert.ok(countAt('i-2') > 0);
 });
 
-test('servers of a restored domain count as cold until they may have said so', () => {
+test('servers of a restored failure domain count as cold until their own state has arrived', () => {
   const warm = {...serverOf('i-1'), failureDomain: 'b'};
   const restored = serverOf('i-2');
   const {catalog} = createRouter([warm, restored]);
--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -1,7 +1,7 @@
 /**
- * Routing over a fabric whose packets carry cookies. Opening packets are placed;
- * every later packet goes to the server that its cookie names, so any daemon
- * decides alike without memory of the flow.
+ * Routes packets of a fabric with cookies. Opening packets are load balanced; every
+ * later packet goes to the server that its cookie identifies, so a daemon needs no
+ * record of a flow to route it.
  */
 import {NO_COOKIE} from '../catalog/cookie-index.js';
 import type {CatalogServer} from '../catalog/records.js';
@@ -11,96 +11,104 @@
 import type {Counters} from '../ports/counters.js';
 import {RetainedPackets} from './retained-packets.js';
 import type {RequestObserver} from './request-outcome.js';
-import {RequestWatch} from './request-watch.js';
-import {SeenFlows} from './seen-flows.js';
-import {ServerChoice, type ServerChoiceOptions} from './server-choice.js';
-import {UnknownCookies} from './unknown-cookies.js';
+import {RequestTracker} from './request-tracker.js';
+import {FlowTracker} from './seen-flows.js';
+import {ServerSelector, type ServerSelectorOptions} from './server-choice.js';
+import {UnknownCookieFlows} from './unknown-cookies.js';
 
 /**
- * Time by which a refusal lies within the limit for a version to be in force, in
- * milliseconds: a round trip to the store and one to the caller.
+ * Deducted from the limit for a version to be in force: a round trip to the store and
+ * one to the caller.
  */
 const REFUSAL_MARGIN_MS = 200;
 
-/** What becomes of a packet. */
+/** Action taken on a packet. */
 export const CookieVerdict = {
   FORWARD: 'forward',
   RESET: 'reset',
   DROP: 'drop',
 } as const;
-/** One of the values of `Verdict`. */
+/** One of the actions in `CookieVerdict`. */
 export type CookieVerdict = (typeof CookieVerdict)[keyof typeof CookieVerdict];
 
 /** Why a packet is not forwarded. */
 export const RefusalReason = {
   NO_ROUTE: 'no-route',
   NO_SERVER: 'no-server',
-  /** The flow's server has ended for certain. */
+  /** The flow's server has permanently ended. */
   SERVER_GONE: 'server-gone',
-  /** No daemon reaches the flow's server, and its requests may be repeated. */
+  /** The flow's server is unreachable, and the route's requests may be retried. */
   SERVER_UNREACHABLE: 'server-unreachable',
-  /** No server of the route has the packet's cookie. */
+  /** The packet's cookie identifies no known server of the route. */
   UNKNOWN_COOKIE: 'unknown-cookie',
-  /** A caller gave up a flow that has no route. */
+  /** The packet is itself a reset, which is never answered with a reset. */
   NOTHING_TO_RESET: 'nothing-to-reset',
 } as const;
 /** One of the reasons in `RefusalReason`. */
 export type RefusalReason = (typeof RefusalReason)[keyof typeof RefusalReason];
 
-/** Send the packet to a server. */
+/** A decision to forward the packet to a server. */
 export interface CookieForward {
   readonly verdict: typeof CookieVerdict.FORWARD;
   readonly server: CatalogServer;
   readonly cookie: number;
 }
 
-/** Refuse the packet, aloud or silently. */
+/** A decision to answer the packet with a reset or to drop it. */
 export interface CookieRefusal {
   readonly verdict: typeof CookieVerdict.RESET | typeof CookieVerdict.DROP;
   readonly reason: RefusalReason;
 }
 
-/** What to do with a packet. */
+/** A routing decision for one packet. */
 export type CookieDecision = CookieForward | CookieRefusal;
 
-/** What a router is made from. */
-export interface CookieRouterOptions extends ServerChoiceOptions {
+/** Dependencies and settings of a `CookieRouter`. */
+export interface CookieRouterOptions extends ServerSelectorOptions {
   readonly clock: Clock;
   readonly counters: Counters;
-  /** Time in which a version has to be in force everywhere, in milliseconds. */
+  /** Time within which a route version has to be in force everywhere, in milliseconds. */
   readonly inForceLimitMs: number;
-  /** Told of callers' requests as they end; undefined where nobody asks. */
+  /** Notified of requests as they end; undefined disables request tracking. */
   readonly observer: RequestObserver | undefined;
-  /** Whether packets are kept for servers that start again; undefined: no. */
+  /** Whether packets are retained for resending to restarted servers; off by default. */
   readonly keepsPackets?: boolean;
 }
 
-/** Decides on packets that carry cookies. */
+/** Routes the packets that one daemon receives. */
 export class CookieRouter {
-  readonly flows: SeenFlows;
-  private readonly watch: RequestWatch | undefined;
-  private readonly unknown = UnknownCookies.create();
-  private readonly choice: ServerChoice;
+  readonly flows: FlowTracker;
+  private readonly requestTracker: RequestTracker | undefined;
+  private readonly unknownCookieFlows = UnknownCookieFlows.create();
+  private readonly serverSelector: ServerSelector;
 
   private constructor(private readonly options: CookieRouterOptions) {
-    const {counters, work, clock, observer, keepsPackets} = options;
-    this.choice = ServerChoice.create(options);
-    this.watch = observer && RequestWatch.create(observer);
-    this.flows = SeenFlows.create({
+    const {
       counters,
-      work,
-      watch: this.watch,
-      packets: keepsPackets === true ? RetainedPackets.create() : undefined,
-      onUnanswered: server => this.choice.noteUnanswered(server, clock.now()),
+      work: loadTracker,
+      clock,
+      observer,
+      keepsPackets,
+    } = options;
+    this.serverSelector = ServerSelector.create(options);
+    this.requestTracker = observer && RequestTracker.create(observer);
+    this.flows = FlowTracker.create({
+      counters,
+      loadTracker,
+      requestTracker: this.requestTracker,
+      retainedPackets:
+        keepsPackets === true ? RetainedPackets.create() : undefined,
+      onUnanswered: server =>
+        this.serverSelector.recordUnanswered(server, clock.now()),
     });
   }
 
-  /** Creates a router without any flow. */
+  /** Creates a router that tracks no flows yet. */
   static create(options: CookieRouterOptions): CookieRouter {
     return new CookieRouter(options);
   }
 
-  /** Decides on one packet. */
+  /** Returns the routing decision for one packet and updates the flow records. */
   decide(packet: CookiePacket): CookieDecision {
     const {catalog} = this.options;
     const route = catalog.routeOf(
@@ -110,26 +118,36 @@
     if (route === undefined) {
       return this.refuse(packet, RefusalReason.NO_ROUTE);
     }
-    return packet.opens ? this.open(packet, route) : this.follow(packet, route);
+    return packet.opens
+      ? this.routeOpening(packet, route)
+      : this.routeByCookie(packet, route);
   }
 
-  /** Tells the observer of requests that have ended by now. */
+  /** Reports requests that have completed or exceeded their target to the observer. */
   settleRequests(): void {
-    this.watch?.settle(this.options.clock.now());
+    this.requestTracker?.endDue(this.options.clock.now());
   }
 
-  /** Sends a later packet where its cookie says. */
-  private follow(packet: CookiePacket, route: KnownRoute): CookieDecision {
+  /** Routes a packet other than an opening one to the server in its cookie. */
+  private routeByCookie(
+    packet: CookiePacket,
+    route: KnownRoute,
+  ): CookieDecision {
     const {catalog, clock} = this.options;
-    const named = catalog.serverOf(packet.cookie, route);
-    if (packet.cookie === NO_COOKIE || named === undefined) {
-      return this.refuseUnknown(packet, route);
+    const cookieServer = catalog.serverOf(packet.cookie, route);
+    if (packet.cookie === NO_COOKIE || cookieServer === undefined) {
+      return this.refuseUnknownCookie(packet, route);
     }
-    const server = this.flows.notePacket(packet, route, named, clock.now());
+    const server = this.flows.recordPacket(
+      packet,
+      route,
+      cookieServer,
+      clock.now(),
+    );
     if (catalog.hasEnded(server)) {
       return this.refuse(packet, RefusalReason.SERVER_GONE);
     }
-    if (this.isCutOff(packet, route, server)) {
+    if (this.shouldResetUnreachable(packet, route, server)) {
       const reason = RefusalReason.SERVER_UNREACHABLE;
       return {verdict: CookieVerdict.RESET, reason};
     }
@@ -137,12 +155,12 @@
   }
 
   /**
-   * Callers that waited for a server which cannot be reached from now on, and may send
-   * their requests again elsewhere.
+   * Marks the flows that await an answer from a lost server as ended, where the route
+   * allows retries, and returns their callers so that they can be reset.
    */
   takeCutOff(server: CatalogServer): CallerPosition[] {
     const {catalog, clock} = this.options;
-    return this.flows.takeWaiting(
+    return this.flows.takeWaitingCallers(
       server.id,
       clock.now(),
       ({destinationAddress, destinationPort}) =>
@@ -152,11 +170,10 @@
   }
 
   /**
-   * Whether a packet's caller gains by a reset: its server cannot be reached, and its
-   * request may be repeated. One that may not be is better off with the server that has
-   * it, should that come back.
+   * Whether the caller should be reset because its server is unreachable. A request that
+   * must not be retried stays with its server, which may become reachable again.
    */
-  private isCutOff(
+  private shouldResetUnreachable(
     packet: CookiePacket,
     route: KnownRoute,
     server: CatalogServer,
@@ -169,10 +186,11 @@
   }
 
   /**
-   * A cookie that names nobody is dropped; once the list was surely read without
-   * its server, and steadily so, the server has ended and the caller is told.
+   * Drops a packet whose cookie identifies no server. Once an authoritative server list
+   * newer than the flow's first packet lacks the cookie too, its server has ended, and
+   * the packet is refused as such.
    */
-  private refuseUnknown(
+  private refuseUnknownCookie(
     packet: CookiePacket,
     route: KnownRoute,
   ): CookieRefusal {
@@ -181,36 +199,49 @@
     const isGone =
       packet.cookie !== NO_COOKIE &&
       !catalog.hasCookie(packet.cookie, route) &&
-      this.unknown.isSurelyAbsent(packet, serversConfirmedAt, clock.now()) &&
+      this.unknownCookieFlows.isConfirmedAbsent(
+        packet,
+        serversConfirmedAt,
+        clock.now(),
+      ) &&
       catalog.isAuthoritative;
     return isGone
       ? this.refuse(packet, RefusalReason.SERVER_GONE)
       : {verdict: CookieVerdict.DROP, reason: RefusalReason.UNKNOWN_COOKIE};
   }
 
-  /** Places an opening packet; a copy of one goes to another server. */
-  private open(packet: CookiePacket, route: KnownRoute): CookieDecision {
+  /**
+   * Selects a server for an opening packet. A retransmitted one counts against the server
+   * that was tried last, and goes to another; once the flow is open, to the flow's server.
+   */
+  private routeOpening(
+    packet: CookiePacket,
+    route: KnownRoute,
+  ): CookieDecision {
     const {catalog, clock} = this.options;
     const now = clock.now();
-    const known = this.flows.find(packet);
-    if (known?.isOpen === true && packet.openCopy > 0) {
-      return this.repeatOpening(known.server, route);
+    const flow = this.flows.find(packet);
+    if (flow?.isOpen === true && packet.openCopy > 0) {
+      return this.forwardLateOpening(flow.server, route);
     }
-    const tried = known === undefined || known.isOpen ? [] : known.tried;
-    tried.slice(-1).forEach(last => this.choice.noteUnanswered(last, now));
-    const server = this.choice.choose(route, tried, now);
+    const triedServers =
+      flow === undefined || flow.isOpen ? [] : flow.triedServers;
+    triedServers
+      .slice(-1)
+      .forEach(last => this.serverSelector.recordUnanswered(last, now));
+    const server = this.serverSelector.select(route, triedServers, now);
     const cookie =
       server === undefined ? undefined : catalog.cookieOf(server, route);
     if (server === undefined || cookie === undefined) {
       return this.refuse(packet, RefusalReason.NO_SERVER);
     }
-    this.flows.noteOpening(packet, server, now);
-    this.choice.noteOpening(server, now);
+    this.flows.recordOpening(packet, server, now);
+    this.serverSelector.recordOpening(server, now);
     return {verdict: CookieVerdict.FORWARD, server, cookie};
   }
 
-  /** A copy that was overtaken by its flow's later packets goes where they went. */
-  private repeatOpening(
+  /** Forwards a retransmitted opening packet of a flow that is already open to its server. */
+  private forwardLateOpening(
     server: CatalogServer,
     route: KnownRoute,
   ): CookieForward {
@@ -218,7 +249,7 @@
     return {verdict: CookieVerdict.FORWARD, server, cookie};
   }
 
-  /** Refuses aloud only what the catalog surely does not hold. */
+  /** Resets the caller if the catalog is current; drops the packet otherwise. */
   private refuse(packet: CookiePacket, reason: RefusalReason): CookieRefusal {
     if (packet.resets) {
       return {
@@ -232,8 +263,8 @@
   }
 
   /**
-   * Whether no version can be in force yet that is not known: an older copy may
-   * lack a route, so the daemon stays silent about what it does not hold.
+   * Whether the catalog was confirmed recently enough that no unknown version can be in
+   * force. An older catalog may lack a route, so callers are not reset because of it.
    */
   isCurrent(): boolean {
     const {catalog, clock, inForceLimitMs} = this.options;
--- a/src/routing/random.ts
+++ b/src/routing/random.ts
@@ -9,7 +9,7 @@
  * next to each other, started together, all drew 0.257 first, and from the tenth number
  * on they spread evenly.
  */
-const WARM_UP = 16;
+const WARM_UP_DRAWS = 16;
 
 /** A stream of random numbers from a seed. */
 export class Random {
@@ -30,7 +30,7 @@
    */
   static createOwn(address: number, wallMs: number): Random {
     const random = new Random((address ^ wallMs) >>> 0);
-    Array.from({length: WARM_UP}, () => random.next());
+    Array.from({length: WARM_UP_DRAWS}, () => random.next());
     return random;
   }
 
--- a/src/routing/request-outcome.ts
+++ b/src/routing/request-outcome.ts
@@ -10,7 +10,7 @@
   /** The caller acknowledged an answer, and then nothing more for a while. */
   ANSWERED: 'answered',
   /** The caller closed or reset the flow before it acknowledged any answer. */
-  LEFT: 'left',
+  ABANDONED: 'left',
   /** No answer within the time that the route's callers are to have one. */
   OVERDUE: 'overdue',
 } as const;
@@ -27,7 +27,7 @@
   /** When its first data passed. */
   readonly startedAt: number;
   /** When its newest data passed: the server had all of it not before. */
-  readonly sentAt: number;
+  readonly lastDataAt: number;
   /** When the caller first acknowledged some of the answer; Infinity: never. */
   readonly answeredAt: number;
   /** Bytes of the request that passed, repeated ones included. */
@@ -42,7 +42,7 @@
 }
 
 /** Tells several observers of the same ends. */
-export class ObserverGroup extends RequestObserver {
+export class CompositeRequestObserver extends RequestObserver {
   private constructor(private readonly observers: readonly RequestObserver[]) {
     super();
   }
@@ -51,7 +51,9 @@
   static create(
     observers: readonly RequestObserver[],
   ): RequestObserver | undefined {
-    return observers.length === 0 ? undefined : new ObserverGroup(observers);
+    return observers.length === 0
+      ? undefined
+      : new CompositeRequestObserver(observers);
   }
 
   onEnd(outcome: RequestOutcome, now: number): void {
--- a/src/routing/request-watch.spec.ts
+++ b/src/routing/request-tracker.spec.ts
@@ -8,7 +8,7 @@
   RequestObserver,
   type RequestOutcome,
 } from './request-outcome.js';
-import {RequestWatch} from './request-watch.js';
+import {RequestTracker} from './request-tracker.js';
 
 const TARGET_MS = 400;
 const ROUTE = {
@@ -29,9 +29,9 @@
 
 function watchFlow() {
   const ends = new Ends();
-  const watch = RequestWatch.create(ends);
+  const watch = RequestTracker.create(ends);
   const send = (now: number, part: Partial<CookiePacket>) =>
-    watch.notePacket(FLOW, createPacket(part), ROUTE, SERVER, now);
+    watch.recordPacket(FLOW, createPacket(part), ROUTE, SERVER, now);
   return {ends, watch, send};
 }
 
@@ -44,7 +44,7 @@
   send(5_000, {dataLength: 200, acknowledged: 3_000});
   const [first] = ends.told;
   assert.equal(first.end, RequestEnd.ANSWERED);
-  assert.equal(first.answeredAt - first.sentAt, 30);
+  assert.equal(first.answeredAt - first.lastDataAt, 30);
   assert.equal(first.answerBytes, 2_000);
   assert.equal(first.caller, createPacket({}).sourceAddress);
 });
@@ -53,9 +53,9 @@
   const {ends, watch, send} = watchFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
   send(30, {acknowledged: 2_200});
-  watch.settle(200);
+  watch.endDue(200);
   assert.equal(ends.told.length, 0);
-  watch.settle(300);
+  watch.endDue(300);
   assert.equal(ends.told[0].end, RequestEnd.ANSWERED);
   assert.equal(ends.told[0].answerBytes, 1_200);
   assert.equal(watch.size, 0);
@@ -70,7 +70,7 @@
   assert.deepEqual(
     ends.told.map(({end, answerBytes}) => [end, answerBytes]),
     [
-      [RequestEnd.LEFT, 0],
+      [RequestEnd.ABANDONED, 0],
       [RequestEnd.ANSWERED, 159],
     ],
   );
@@ -79,10 +79,10 @@
 test('a request without an answer is overdue at the route target, once', () => {
   const {ends, watch, send} = watchFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
-  watch.settle(TARGET_MS - 1);
+  watch.endDue(TARGET_MS - 1);
   assert.equal(ends.told.length, 0);
-  watch.settle(TARGET_MS);
-  watch.settle(TARGET_MS + 500);
+  watch.endDue(TARGET_MS);
+  watch.endDue(TARGET_MS + 500);
   assert.deepEqual(
     ends.told.map(({end, answeredAt}) => [end, answeredAt]),
     [[RequestEnd.OVERDUE, Infinity]],
@@ -94,17 +94,17 @@
   send(0, {dataLength: 1_200, acknowledged: 1_000});
   send(100, {dataLength: 1_200, acknowledged: 1_000});
   send(110, {acknowledged: 1_483});
-  watch.settle(1_000);
+  watch.endDue(1_000);
   const [upload] = ends.told;
   assert.equal(upload.requestBytes, 2_400);
-  assert.equal(upload.answeredAt - upload.sentAt, 10);
+  assert.equal(upload.answeredAt - upload.lastDataAt, 10);
   assert.equal(upload.answeredAt - upload.startedAt, 110);
 });
 
 test('a request that was ended here is not told of', () => {
   const {ends, watch, send} = watchFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
-  watch.drop(FLOW);
-  watch.settle(10_000);
+  watch.discard(FLOW);
+  watch.endDue(10_000);
   assert.equal(ends.told.length, 0);
 });
--- a/src/routing/request-watch.ts
+++ b/src/routing/request-tracker.ts
@@ -17,71 +17,76 @@
  * Time without a new acknowledgement after which an answer is complete, in
  * milliseconds: callers repeat what they miss after 200 ms, servers too.
  */
-const SETTLE_MS = 250;
+const ANSWER_IDLE_MS = 250;
 /** Half of the range of positions, in bytes: what is further ahead lies behind. */
-const HALF_RANGE = 2 ** 31;
+const HALF_SEQUENCE_SPACE = 2 ** 31;
 
 /** A request whose end was not told yet. */
-interface OpenRequest {
+interface PendingRequest {
   readonly server: CatalogServer;
   readonly route: KnownRoute;
   readonly caller: number;
   readonly startedAt: number;
   /** What the caller had acknowledged when it sent the request. */
-  readonly acknowledgedBefore: number;
-  sentAt: number;
+  readonly acknowledgedAtStart: number;
+  lastDataAt: number;
   answeredAt: number;
   /** When the acknowledgement last grew; monotonic milliseconds. */
-  grownAt: number;
+  lastAcknowledgedAt: number;
   requestBytes: number;
   answerBytes: number;
 }
 
 /** The requests under way at one daemon, by flow. */
-export class RequestWatch {
-  private readonly open = new Map<string, OpenRequest>();
+export class RequestTracker {
+  private readonly pending = new Map<string, PendingRequest>();
 
   private constructor(private readonly observer: RequestObserver) {}
 
   /** Creates a watch without requests. */
-  static create(observer: RequestObserver): RequestWatch {
-    return new RequestWatch(observer);
+  static create(observer: RequestObserver): RequestTracker {
+    return new RequestTracker(observer);
   }
 
   /** Requests whose end was not told yet. */
   get size(): number {
-    return this.open.size;
+    return this.pending.size;
   }
 
   /** Takes a later packet of a flow, on its way to a server. */
-  notePacket(
+  recordPacket(
     flow: string,
     packet: CookiePacket,
     route: KnownRoute,
     server: CatalogServer,
     now: number,
   ): void {
-    this.noteGrowth(flow, packet, now);
+    this.recordAcknowledgement(flow, packet, now);
     if (packet.dataLength > 0) {
-      this.noteData(flow, packet, route, server, now);
+      this.recordData(flow, packet, route, server, now);
     }
     if (packet.closes || packet.resets) {
-      this.end(flow, RequestEnd.LEFT, now);
+      this.end(flow, RequestEnd.ABANDONED, now);
     }
   }
 
   /** Drops a flow's request without telling of it: it was ended here. */
-  drop(flow: string): void {
-    this.open.delete(flow);
+  discard(flow: string): void {
+    this.pending.delete(flow);
   }
 
   /** Tells of answers that are complete by now, and of requests that are overdue. */
-  settle(now: number): void {
-    this.open.forEach((request, flow) => {
-      const {answeredAt, grownAt, startedAt, route} = request;
+  endDue(now: number): void {
+    this.pending.forEach((request, flow) => {
+      const {
+        answeredAt,
+        lastAcknowledgedAt: grownAt,
+        startedAt,
+        route,
+      } = request;
       const isAnswered = answeredAt < Infinity;
       const dueAt = isAnswered
-        ? grownAt + SETTLE_MS
+        ? grownAt + ANSWER_IDLE_MS
         : startedAt + route.targetMs;
       if (dueAt <= now) {
         this.end(flow, RequestEnd.OVERDUE, now);
@@ -89,43 +94,47 @@
     });
   }
 
-  private noteGrowth(flow: string, packet: CookiePacket, now: number): void {
-    const request = this.open.get(flow);
+  private recordAcknowledgement(
+    flow: string,
+    packet: CookiePacket,
+    now: number,
+  ): void {
+    const request = this.pending.get(flow);
     if (request === undefined) {
       return;
     }
-    const bytes = (packet.acknowledged - request.acknowledgedBefore) >>> 0;
-    if (bytes > request.answerBytes && bytes < HALF_RANGE) {
+    const bytes = (packet.acknowledged - request.acknowledgedAtStart) >>> 0;
+    if (bytes > request.answerBytes && bytes < HALF_SEQUENCE_SPACE) {
       request.answerBytes = bytes;
       request.answeredAt = Math.min(request.answeredAt, now);
-      request.grownAt = now;
+      request.lastAcknowledgedAt = now;
     }
   }
 
   /** Data after some of an answer is the next request. */
-  private noteData(
+  private recordData(
     flow: string,
     packet: CookiePacket,
     route: KnownRoute,
     server: CatalogServer,
     now: number,
   ): void {
-    const request = this.open.get(flow);
+    const request = this.pending.get(flow);
     if (request !== undefined && request.answeredAt === Infinity) {
-      request.sentAt = now;
+      request.lastDataAt = now;
       request.requestBytes += packet.dataLength;
       return;
     }
     this.end(flow, RequestEnd.ANSWERED, now);
-    this.open.set(flow, {
+    this.pending.set(flow, {
       server,
       route,
       caller: packet.sourceAddress,
       startedAt: now,
-      acknowledgedBefore: packet.acknowledged,
-      sentAt: now,
+      acknowledgedAtStart: packet.acknowledged,
+      lastDataAt: now,
       answeredAt: Infinity,
-      grownAt: now,
+      lastAcknowledgedAt: now,
       requestBytes: packet.dataLength,
       answerBytes: 0,
     });
@@ -133,20 +142,27 @@
 
   /** Tells of a flow's request, if there is one; `unanswered` is its end without answer. */
   private end(flow: string, unanswered: RequestEnd, now: number): void {
-    const request = this.open.get(flow);
+    const request = this.pending.get(flow);
     if (request === undefined) {
       return;
     }
-    this.open.delete(flow);
+    this.pending.delete(flow);
     this.observer.onEnd(outcomeOf(request, unanswered), now);
   }
 }
 
 function outcomeOf(
-  request: OpenRequest,
+  request: PendingRequest,
   unanswered: RequestEnd,
 ): RequestOutcome {
-  const {server, route, caller, startedAt, sentAt, answeredAt} = request;
+  const {
+    server,
+    route,
+    caller,
+    startedAt,
+    lastDataAt: sentAt,
+    answeredAt,
+  } = request;
   const {requestBytes, answerBytes} = request;
   const end = answeredAt < Infinity ? RequestEnd.ANSWERED : unanswered;
   return {
@@ -155,7 +171,7 @@
     caller,
     end,
     startedAt,
-    sentAt,
+    lastDataAt: sentAt,
     answeredAt,
     requestBytes,
     answerBytes,
--- a/src/routing/retained-packets.ts
+++ b/src/routing/retained-packets.ts
@@ -12,21 +12,21 @@
  * Bytes kept at the most. 60,000 flows take 2 MB without data; callers whose first packet
  * carries their request are kept while there is room.
  */
-const MOST_BYTES = 4 * 1_024 * 1_024;
+const MAX_RETAINED_BYTES = 4 * 1_024 * 1_024;
 
 /** The bytes that one daemon keeps. */
 export class RetainedPackets {
   private bytes = 0;
 
-  private constructor(private readonly mostBytes: number) {}
+  private constructor(private readonly maxBytes: number) {}
 
   /** Keeps nothing yet. */
-  static create(mostBytes = MOST_BYTES): RetainedPackets {
+  static create(mostBytes = MAX_RETAINED_BYTES): RetainedPackets {
     return new RetainedPackets(mostBytes);
   }
 
   /** Which packet of a flow to keep from now on: the one that is, or a later one. */
-  choose(
+  select(
     kept: CookiePacket | undefined,
     packet: CookiePacket,
   ): CookiePacket | undefined {
@@ -34,8 +34,8 @@
     const isWorse =
       packet.closes ||
       packet.resets ||
-      isSmallerAlike(kept, packet) ||
-      this.bytes + growth > this.mostBytes;
+      addsOnlyData(kept, packet) ||
+      this.bytes + growth > this.maxBytes;
     if (isWorse) {
       return kept;
     }
@@ -50,7 +50,7 @@
 }
 
 /** Whether a packet without data says all that a later one says besides its data. */
-function isSmallerAlike(
+function addsOnlyData(
   kept: CookiePacket | undefined,
   packet: CookiePacket,
 ): boolean {
--- a/src/routing/seen-flows.spec.ts
+++ b/src/routing/seen-flows.spec.ts
@@ -6,7 +6,7 @@
 import {createRoute, createServer} from '../../standins/catalog-records.js';
 import {createPacket} from '../../standins/cookie-packets.js';
 import {RetainedPackets} from './retained-packets.js';
-import {SeenFlows} from './seen-flows.js';
+import {FlowTracker} from './seen-flows.js';
 import {ServerLoadTracker} from './server-load-tracker.js';
 
 const SERVER = createServer('i-1', 'pay');
@@ -16,68 +16,72 @@
 };
 
 function createFlows() {
-  const work = ServerLoadTracker.create(ScriptXxhashHasher.create());
-  const flows = SeenFlows.create({
+  const loadTracker = ServerLoadTracker.create(ScriptXxhashHasher.create());
+  const flows = FlowTracker.create({
     counters: MemoryCounters.create(),
-    work,
-    watch: undefined,
-    packets: RetainedPackets.create(),
+    loadTracker,
+    requestTracker: undefined,
+    retainedPackets: RetainedPackets.create(),
     onUnanswered: () => undefined,
   });
-  /** A later packet of the flow from a port, at a time. */
-  const note = (sourcePort: number, now: number, part = {}) =>
-    flows.notePacket(
+  /** Records a packet after the opening from a source port. */
+  const record = (sourcePort: number, now: number, part = {}) =>
+    flows.recordPacket(
       createPacket({sourcePort, acknowledged: 1, ...part}),
       ROUTE,
       SERVER,
       now,
     );
-  return {flows, work, note};
+  return {flows, loadTracker, record};
 }
 
-test('a flow with any request under way is not idle, nor one that its caller closed', () => {
-  const {flows, note} = createFlows();
-  [1, 2, 3, 4].forEach(port => note(port, 0));
-  note(2, 10, {dataLength: 900});
-  note(3, 10, {closes: true});
-  note(4, 10, {dataLength: 900});
-  note(4, 20, {acknowledged: 700});
+test('a flow with a pending request or closed by its caller is not idle', () => {
+  const {flows, record} = createFlows();
+  [1, 2, 3, 4].forEach(port => record(port, 0));
+  record(2, 10, {dataLength: 900});
+  record(3, 10, {closes: true});
+  record(4, 10, {dataLength: 900});
+  record(4, 20, {acknowledged: 700});
   const ports = flows.idleAt('i-1').map(({caller}) => caller.sourcePort);
   assert.deepEqual(ports, [1, 4]);
 });
 
-test('a flow ends once, and not if its caller has begun a request meanwhile', () => {
-  const {flows, note} = createFlows();
-  [1, 2].forEach(port => note(port, 0));
+test('an idle flow is ended once, and not after its caller has sent a new request', () => {
+  const {flows, record} = createFlows();
+  [1, 2].forEach(port => record(port, 0));
   const [first, second] = flows.idleAt('i-1');
-  note(2, 10, {dataLength: 900});
+  record(2, 10, {dataLength: 900});
   assert.deepEqual(
     [first, first, second].map(flow => flows.endIdle(flow)),
     [true, false, false],
   );
 });
 
-test('a flow whose addresses and ports are used again is not ended by what was before', () => {
-  const {flows, note} = createFlows();
-  note(1, 0);
+test('ending a flow does not end a later one with the same addresses and ports', () => {
+  const {flows, record} = createFlows();
+  record(1, 0);
   const [former] = flows.idleAt('i-1');
-  const elsewhere = createServer('i-2', 'pay');
-  flows.noteOpening(createPacket({sourcePort: 1, opens: true}), elsewhere, 50);
+  const otherServer = createServer('i-2', 'pay');
+  flows.recordOpening(
+    createPacket({sourcePort: 1, opens: true}),
+    otherServer,
+    50,
+  );
   assert.equal(flows.endIdle(former), false);
   assert.equal(former.kept, undefined);
 });
 
-test('flows at a former life: those that wait first, no work left, packets to where it is', () => {
-  const {flows, work, note} = createFlows();
-  [1, 2].forEach(port => note(port, 0));
-  note(2, 10, {dataLength: 900});
-  assert.equal(work.countLocalInFlight('i-1'), 1);
-  const reborn = createServer('i-1', 'pay', {address: 7, startTime: 70});
-  const renewed = flows.renew(reborn);
-  const ports = renewed.map(({caller}) => caller.sourcePort);
+test('flows of a restarted server lose their pending requests and move to its new record', () => {
+  const {flows, loadTracker, record} = createFlows();
+  [1, 2].forEach(port => record(port, 0));
+  record(2, 10, {dataLength: 900});
+  assert.equal(loadTracker.countLocalInFlight('i-1'), 1);
+  const restarted = createServer('i-1', 'pay', {address: 7, startTime: 70});
+  const rebound = flows.renew(restarted);
+  const ports = rebound.map(({caller}) => caller.sourcePort);
   assert.deepEqual(ports, [2, 1]);
-  assert.ok(renewed.every(({server}) => server === reborn));
-  assert.equal(work.countLocalInFlight('i-1'), 0);
-  note(2, 20, {acknowledged: 700});
-  assert.equal(work.countLocalInFlight('i-1'), 0);
+  assert.ok(rebound.every(({server}) => server === restarted));
+  assert.equal(loadTracker.countLocalInFlight('i-1'), 0);
+  record(2, 20, {acknowledged: 700});
+  assert.equal(loadTracker.countLocalInFlight('i-1'), 0);
 });
--- a/src/routing/seen-flows.ts
+++ b/src/routing/seen-flows.ts
@@ -1,7 +1,7 @@
 /**
- * Flows that pass one daemon. The record is for load and for copies of opening
- * packets; where a flow's server is stands in its packets, so nothing is lost
- * when a daemon starts without it.
+ * Tracks the flows that pass one daemon, for load estimates and retransmitted opening
+ * packets. Used by `CookieRouter`. A flow's packets carry the cookie of its server, so
+ * routing does not depend on these records and survives a restart of the daemon.
  */
 import type {CatalogServer} from '../catalog/records.js';
 import type {CallerPosition, CookiePacket} from '../ports/cookie-fabric.js';
@@ -9,347 +9,385 @@
 import type {KnownRoute} from '../catalog/route-table.js';
 import {destinationKey} from './flow-key.js';
 import type {RetainedPackets} from './retained-packets.js';
-import type {RequestWatch} from './request-watch.js';
+import type {RequestTracker} from './request-tracker.js';
 import type {ServerLoadTracker} from './server-load-tracker.js';
 
-/** Flows kept at the most; 300 bytes each. */
-const MAXIMUM_FLOWS = 60_000;
+/** Limits memory use: a flow takes about 300 bytes. */
+const MAX_FLOWS = 60_000;
 /**
- * Time after which an unfinished opening is forgotten, in milliseconds: three
- * attempts end in 1.4 s.
+ * Time after the last opening packet, or after the end of a flow, at which its record
+ * expires. Callers make three attempts to open a flow within 1.4 s.
  */
-const OPENING_LIFETIME_MS = 2_500;
-/** Time without a packet after which a flow is forgotten, in milliseconds. */
-const IDLE_LIFETIME_MS = 20_000;
+const OPENING_RETENTION_MS = 2_500;
+/** Time without a packet after which the record of an open flow expires. */
+const IDLE_TIMEOUT_MS = 20_000;
 /**
- * Longest time between two packets of a caller that waits for an answer, in
- * milliseconds: its pauses double from 200 ms to 1.6 s.
+ * Longest time between two packets of a caller that awaits an answer: its retransmission
+ * timeout doubles from 200 ms to 1.6 s.
  */
-const LONGEST_REPEAT_MS = 2_000;
-/** Time between two sweeps, in milliseconds. */
-const SWEEP_MS = 1_000;
-/** Stands for "no data yet" among positions. */
-const NO_DATA = -1;
-/** Half of the range of positions, in bytes: what is further ahead lies behind. */
-const HALF_RANGE = 2 ** 31;
+const MAX_RETRANSMIT_INTERVAL_MS = 2_000;
+/** Time between two removals of expired records. */
+const SWEEP_INTERVAL_MS = 1_000;
+/** Sequence number that stands for "no data yet". */
+const NO_SEQUENCE = -1;
+/** Half of the 32-bit sequence space; a number further ahead is an older one. */
+const HALF_SEQUENCE_SPACE = 2 ** 31;
 
-/** One flow that passed. */
+/** The record of one flow; times are monotonic milliseconds. */
 export interface SeenFlow {
-  /** Where its packets go; while it opens, where the last copy went. */
+  /** Where its packets go; until it is open, where the last opening packet went. */
   server: CatalogServer;
-  /** Servers that its opening packets went to; empty when none was seen. */
-  readonly tried: CatalogServer[];
-  /** When the newest opening packet was sent on; monotonic milliseconds. */
+  /** Servers that its opening packets went to; empty if this daemon saw none. */
+  readonly triedServers: CatalogServer[];
+  /** When the newest opening packet was forwarded. */
   openingSentAt: number;
-  /** Whether the caller has heard from the server. */
+  /** Whether the caller has sent a packet after the opening, and so was answered. */
   isOpen: boolean;
-  /** Whether the caller closed it, or it was ended here. */
+  /** Whether the caller closed it, or this daemon ended it. */
   hasEnded: boolean;
-  /** Whether a request is under way. */
-  isBusy: boolean;
-  /** When the newest request passed; monotonic milliseconds. */
-  requestedAt: number;
-  /** What the caller had acknowledged when it sent the request. */
-  acknowledgedBefore: number;
-  /** Position of the newest data that the caller sent. */
-  newestData: number;
-  /** Where the caller stood with its newest packet, and when that came. */
+  /** Whether a request has been forwarded and not been answered yet. */
+  hasPendingRequest: boolean;
+  /** When the first data of the newest request passed. */
+  requestStartedAt: number;
+  /** Acknowledgement number of the caller at the start of the newest request. */
+  acknowledgedAtRequest: number;
+  /** Sequence number of the newest data packet; `NO_SEQUENCE`: none yet. */
+  lastDataSequence: number;
+  /** Addresses and acknowledgement number of the newest packet. */
   caller: CallerPosition;
+  /** When the newest packet arrived. */
   seenAt: number;
-  /** The packet that would be sent to the server again; undefined: none is kept. */
+  /** The packet to resend if the server restarts; undefined: none is retained. */
   kept: CookiePacket | undefined;
-  /** Monotonic milliseconds after which it is forgotten. */
-  forgetAt: number;
+  /** When the record expires. */
+  expiresAt: number;
 }
 
-/** What a record of flows is made from. */
-export interface SeenFlowsOptions {
+/** Dependencies of a `FlowTracker`. */
+export interface FlowTrackerOptions {
   readonly counters: Counters;
-  /** Where requests and silences are counted. */
-  readonly work: ServerLoadTracker;
-  /** Follows requests to their ends; undefined where nobody asks for them. */
-  readonly watch: RequestWatch | undefined;
-  /** Which packets are kept; undefined where none are. */
-  readonly packets: RetainedPackets | undefined;
-  /** Told of a server that left a packet without an answer. */
+  /** Receives pending requests and answers by server. */
+  readonly loadTracker: ServerLoadTracker;
+  /** Tracks requests to their end; undefined while nobody observes them. */
+  readonly requestTracker: RequestTracker | undefined;
+  /** Selects the packets to retain; undefined: none are retained. */
+  readonly retainedPackets: RetainedPackets | undefined;
+  /** Called when a retransmission shows that a server left a packet unanswered. */
   onUnanswered(server: CatalogServer): void;
 }
 
-/** The flows that one daemon has seen of late. */
-export class SeenFlows {
+/** The flows that recently passed one daemon. */
+export class FlowTracker {
   private readonly flows = new Map<string, SeenFlow>();
-  private sweepAt = -Infinity;
+  private nextSweepAt = -Infinity;
 
-  private constructor(private readonly options: SeenFlowsOptions) {}
+  private constructor(private readonly options: FlowTrackerOptions) {}
 
-  /** Creates an empty record. */
-  static create(options: SeenFlowsOptions): SeenFlows {
-    return new SeenFlows(options);
+  /** Creates a tracker without flows. */
+  static create(options: FlowTrackerOptions): FlowTracker {
+    return new FlowTracker(options);
   }
 
-  /** Flows on record. */
+  /** Number of tracked flows. */
   get size(): number {
     return this.flows.size;
   }
 
-  /** The record of a packet's flow. */
+  /** Returns the record of a packet's flow; undefined if it is not tracked. */
   find(packet: CookiePacket): SeenFlow | undefined {
     return this.flows.get(keyOf(packet));
   }
 
   /**
-   * Callers that wait for a server's answer, have sent of late and are wanted; their flows
-   * count as ended from now on. The others wait on.
+   * Marks the flows that await an answer from a server as ended, and returns their callers.
+   * Flows without a recent packet, and those whose caller `isWanted` rejects, are left out.
    */
-  takeWaiting(
+  takeWaitingCallers(
     server: string,
     now: number,
     isWanted: (caller: CallerPosition) => boolean,
   ): CallerPosition[] {
-    const waiting = this.flowsAt(server).filter(
+    const waiting = this.listFlows(server).filter(
       flow =>
-        flow.isBusy &&
-        now - flow.seenAt <= LONGEST_REPEAT_MS &&
+        flow.hasPendingRequest &&
+        now - flow.seenAt <= MAX_RETRANSMIT_INTERVAL_MS &&
         isWanted(flow.caller),
     );
     waiting.forEach(flow => {
-      this.finish(flow);
+      this.clearPendingRequest(flow);
       flow.hasEnded = true;
     });
-    waiting.forEach(({caller}) => this.options.watch?.drop(keyOf(caller)));
+    waiting.forEach(({caller}) =>
+      this.options.requestTracker?.discard(keyOf(caller)),
+    );
     return waiting.map(({caller}) => caller);
   }
 
   /**
-   * The flows of a server that started again, those with a request under way first: it
-   * comes to nothing, and packets go where the server is now.
+   * Points the flows of a restarted server to its new record, discards their pending
+   * requests, and returns them, those that had a pending request first.
    */
   renew(server: CatalogServer): SeenFlow[] {
-    const all = this.flowsAt(server.id);
-    const waiting = all.filter(({isBusy}) => isBusy);
-    const flows = [...waiting, ...all.filter(({isBusy}) => !isBusy)];
+    const all = this.listFlows(server.id);
+    const waiting = all.filter(({hasPendingRequest}) => hasPendingRequest);
+    const flows = [
+      ...waiting,
+      ...all.filter(({hasPendingRequest}) => !hasPendingRequest),
+    ];
     flows.forEach(flow => {
-      this.finish(flow);
-      this.options.watch?.drop(keyOf(flow.caller));
+      this.clearPendingRequest(flow);
+      this.options.requestTracker?.discard(keyOf(flow.caller));
       flow.server = server;
-      const tried = flow.tried.map(each =>
+      const triedServers = flow.triedServers.map(each =>
         each.id === server.id ? server : each,
       );
-      flow.tried.splice(0, tried.length, ...tried);
+      flow.triedServers.splice(0, triedServers.length, ...triedServers);
     });
     return flows;
   }
 
-  /** Open flows of a server that have no request under way. */
+  /** Returns the open flows of a server that have no pending request. */
   idleAt(server: string): SeenFlow[] {
-    return this.flowsAt(server).filter(isIdle);
+    return this.listFlows(server).filter(isIdle);
   }
 
-  /** Ends a flow that has no request under way; false if it has one, or has ended. */
+  /** Marks an idle flow as ended; returns false if it was not idle. */
   endIdle(flow: SeenFlow): boolean {
-    const ends = isIdle(flow);
-    flow.hasEnded ||= ends;
-    return ends;
+    const wasIdle = isIdle(flow);
+    flow.hasEnded ||= wasIdle;
+    return wasIdle;
   }
 
-  private flowsAt(server: string): SeenFlow[] {
+  private listFlows(server: string): SeenFlow[] {
     return [...this.flows.values()].filter(flow => flow.server.id === server);
   }
 
-  /** Records where an opening packet or a copy of it was sent. */
-  noteOpening(packet: CookiePacket, server: CatalogServer, now: number): void {
-    this.sweep(now);
-    this.options.work.noteOpening(server.id, now);
+  /** Records the server that an opening packet, or a retransmitted one, is sent to. */
+  recordOpening(
+    packet: CookiePacket,
+    server: CatalogServer,
+    now: number,
+  ): void {
+    this.removeExpired(now);
+    this.options.loadTracker.recordOpening(server.id, now);
     const known = this.find(packet);
-    const forgetAt = now + OPENING_LIFETIME_MS;
+    const expiresAt = now + OPENING_RETENTION_MS;
     if (known !== undefined && !known.isOpen) {
-      known.tried.push(server);
+      known.triedServers.push(server);
       known.server = server;
       known.openingSentAt = now;
-      known.forgetAt = forgetAt;
+      known.expiresAt = expiresAt;
       return;
     }
-    this.put(packet, {
-      ...createFlow(packet, server, now, forgetAt),
-      tried: [server],
+    this.add(packet, {
+      ...createFlow(packet, server, now, expiresAt),
+      triedServers: [server],
     });
   }
 
   /**
-   * Records a later packet towards the server that its cookie names and returns
-   * the server it must go to. Copies of an opening may be answered by several
-   * servers, and the caller's cookie is the one that came last; so a flow whose
-   * opening was seen stays at the server that its first later packet named.
+   * Records a later packet, whose cookie identifies `cookieServer`, and returns the server
+   * it must go to. Several servers may answer a retransmitted opening packet, each with
+   * its own cookie, and the caller's cookie may change. So a flow whose opening this daemon
+   * saw stays at the server of its first later packet.
    */
-  notePacket(
+  recordPacket(
     packet: CookiePacket,
     route: KnownRoute,
-    named: CatalogServer,
+    cookieServer: CatalogServer,
     now: number,
   ): CatalogServer {
     const known = this.find(packet);
-    const flow = known ?? this.addOpen(packet, named, now);
+    const flow = known ?? this.addOpenFlow(packet, cookieServer, now);
     if (!flow.isOpen) {
       flow.isOpen = true;
-      flow.server = named;
-      const {work, counters} = this.options;
-      work.noteOpened(named.id, flow.openingSentAt, now);
+      flow.server = cookieServer;
+      const {loadTracker, counters} = this.options;
+      loadTracker.recordOpeningAnswered(
+        cookieServer.id,
+        flow.openingSentAt,
+        now,
+      );
       counters.observe(Metric.OPENING_ANSWER_MS, now - flow.openingSentAt);
     }
-    flow.forgetAt = now + IDLE_LIFETIME_MS;
+    flow.expiresAt = now + IDLE_TIMEOUT_MS;
     flow.caller = positionOf(packet);
     flow.seenAt = now;
     if (known !== undefined) {
-      this.keep(flow, packet);
+      this.retainPacket(flow, packet);
     }
-    this.noteProgress(flow, packet, now);
-    this.noteRepeat(flow, packet);
-    const server = flow.tried.length > 0 ? flow.server : named;
-    this.options.watch?.notePacket(keyOf(packet), packet, route, server, now);
+    this.updateRequest(flow, packet, now);
+    this.detectRetransmission(flow, packet);
+    const server = flow.triedServers.length > 0 ? flow.server : cookieServer;
+    this.options.requestTracker?.recordPacket(
+      keyOf(packet),
+      packet,
+      route,
+      server,
+      now,
+    );
     if (packet.closes || packet.resets) {
-      this.end(packet, flow, now);
+      this.endFlow(packet, flow, now);
     }
     return server;
   }
 
-  /** Records a flow whose opening this daemon did not see. */
-  private addOpen(
+  /** Adds a flow whose opening this daemon did not see, if there is room. */
+  private addOpenFlow(
     packet: CookiePacket,
     server: CatalogServer,
     now: number,
   ): SeenFlow {
     const flow: SeenFlow = {
-      ...createFlow(packet, server, now, now + IDLE_LIFETIME_MS),
+      ...createFlow(packet, server, now, now + IDLE_TIMEOUT_MS),
       isOpen: true,
-      acknowledgedBefore: packet.acknowledged,
+      acknowledgedAtRequest: packet.acknowledged,
     };
-    if (!packet.closes && !packet.resets && this.put(packet, flow)) {
-      this.keep(flow, packet);
+    if (!packet.closes && !packet.resets && this.add(packet, flow)) {
+      this.retainPacket(flow, packet);
     }
     return flow;
   }
 
-  /** Keeps a packet of a flow on record in place of the one that is kept. */
-  private keep(flow: SeenFlow, packet: CookiePacket): void {
-    flow.kept = this.options.packets?.choose(flow.kept, packet);
+  /** Retains a packet of a tracked flow if it is to replace the one retained so far. */
+  private retainPacket(flow: SeenFlow, packet: CookiePacket): void {
+    flow.kept = this.options.retainedPackets?.select(flow.kept, packet);
   }
 
-  /** A request is under way from its first data to the first new answer. */
-  private noteProgress(
+  /**
+   * Starts a pending request with the first data packet, and ends it when the caller
+   * acknowledges new data of the server.
+   */
+  private updateRequest(
     flow: SeenFlow,
     packet: CookiePacket,
     now: number,
   ): void {
-    if (packet.dataLength > 0 && !flow.isBusy) {
-      flow.isBusy = true;
-      flow.requestedAt = now;
-      flow.acknowledgedBefore = packet.acknowledged;
-      this.options.work.count(flow.server.id, 1);
+    if (packet.dataLength > 0 && !flow.hasPendingRequest) {
+      flow.hasPendingRequest = true;
+      flow.requestStartedAt = now;
+      flow.acknowledgedAtRequest = packet.acknowledged;
+      this.options.loadTracker.adjustInFlight(flow.server.id, 1);
       return;
     }
-    const ahead = (packet.acknowledged - flow.acknowledgedBefore) >>> 0;
-    if (flow.isBusy && ahead > 0 && ahead < HALF_RANGE) {
-      this.finish(flow);
-      const {work, counters} = this.options;
-      work.noteAnswered(flow.server.id, now);
-      counters.observe(Metric.REQUEST_ANSWER_MS, now - flow.requestedAt);
+    const newlyAcknowledged =
+      (packet.acknowledged - flow.acknowledgedAtRequest) >>> 0;
+    if (
+      flow.hasPendingRequest &&
+      newlyAcknowledged > 0 &&
+      newlyAcknowledged < HALF_SEQUENCE_SPACE
+    ) {
+      this.clearPendingRequest(flow);
+      const {loadTracker, counters} = this.options;
+      loadTracker.recordAnswered(flow.server.id, now);
+      counters.observe(Metric.REQUEST_ANSWER_MS, now - flow.requestStartedAt);
     }
   }
 
-  /** The same data once more: the server has not confirmed it in time. */
-  private noteRepeat(flow: SeenFlow, packet: CookiePacket): void {
+  /** Reports a server when a caller sends the same data again. */
+  private detectRetransmission(flow: SeenFlow, packet: CookiePacket): void {
     if (packet.dataLength === 0) {
       return;
     }
-    const isRepeat = packet.sequence === flow.newestData;
-    flow.newestData = packet.sequence;
-    if (isRepeat) {
+    const isRetransmission = packet.sequence === flow.lastDataSequence;
+    flow.lastDataSequence = packet.sequence;
+    if (isRetransmission) {
       this.options.onUnanswered(flow.server);
     }
   }
 
-  private finish(flow: SeenFlow): void {
-    if (flow.isBusy) {
-      flow.isBusy = false;
-      this.options.work.count(flow.server.id, -1);
+  private clearPendingRequest(flow: SeenFlow): void {
+    if (flow.hasPendingRequest) {
+      flow.hasPendingRequest = false;
+      this.options.loadTracker.adjustInFlight(flow.server.id, -1);
     }
   }
 
-  /** A closed flow may still send for a while, so its record lasts a little. */
-  private end(packet: CookiePacket, flow: SeenFlow, now: number): void {
-    this.finish(flow);
+  /**
+   * Ends a flow that its caller closed or reset. The record is kept for a while if this
+   * daemon saw the opening, since the caller may still send packets.
+   */
+  private endFlow(packet: CookiePacket, flow: SeenFlow, now: number): void {
+    this.clearPendingRequest(flow);
     flow.hasEnded = true;
-    flow.forgetAt = now + OPENING_LIFETIME_MS;
-    if (flow.tried.length === 0) {
-      this.forget(keyOf(packet), flow);
+    flow.expiresAt = now + OPENING_RETENTION_MS;
+    if (flow.triedServers.length === 0) {
+      this.remove(keyOf(packet), flow);
     }
   }
 
-  private forget(key: string, flow: SeenFlow): void {
-    this.options.packets?.release(flow.kept);
+  private remove(key: string, flow: SeenFlow): void {
+    this.options.retainedPackets?.release(flow.kept);
     flow.kept = undefined;
     flow.hasEnded = true;
     this.flows.delete(key);
   }
 
-  /** Puts a flow on record; false if there is no room. */
-  private put(packet: CookiePacket, flow: SeenFlow): boolean {
-    const before = this.find(packet);
-    if (before !== undefined) {
-      this.finish(before);
-      this.forget(keyOf(packet), before);
+  /**
+   * Adds a flow in place of any earlier one with the same addresses and ports; returns
+   * false if there is no room.
+   */
+  private add(packet: CookiePacket, flow: SeenFlow): boolean {
+    const previous = this.find(packet);
+    if (previous !== undefined) {
+      this.clearPendingRequest(previous);
+      this.remove(keyOf(packet), previous);
     }
-    const hasRoom = this.flows.size < MAXIMUM_FLOWS;
+    const hasRoom = this.flows.size < MAX_FLOWS;
     if (hasRoom) {
       this.flows.set(keyOf(packet), flow);
     }
     return hasRoom;
   }
 
-  private sweep(now: number): void {
-    if (now < this.sweepAt) {
+  private removeExpired(now: number): void {
+    if (now < this.nextSweepAt) {
       return;
     }
-    this.sweepAt = now + SWEEP_MS;
+    this.nextSweepAt = now + SWEEP_INTERVAL_MS;
     this.flows.forEach((flow, key) => {
-      if (flow.forgetAt <= now) {
-        this.finish(flow);
-        this.forget(key, flow);
+      if (flow.expiresAt <= now) {
+        this.clearPendingRequest(flow);
+        this.remove(key, flow);
       }
     });
   }
 }
 
-/** A flow that has not done anything yet. */
+/** Creates the record of a flow that is not open yet. */
 function createFlow(
   packet: CookiePacket,
   server: CatalogServer,
   now: number,
-  forgetAt: number,
+  expiresAt: number,
 ): SeenFlow {
   return {
     server,
-    tried: [],
+    triedServers: [],
     openingSentAt: now,
     isOpen: false,
     hasEnded: false,
-    isBusy: false,
-    requestedAt: now,
-    acknowledgedBefore: 0,
-    newestData: NO_DATA,
+    hasPendingRequest: false,
+    requestStartedAt: now,
+    acknowledgedAtRequest: 0,
+    lastDataSequence: NO_SEQUENCE,
     caller: positionOf(packet),
     seenAt: now,
     kept: undefined,
-    forgetAt,
+    expiresAt,
   };
 }
 
-/** Whether no request is under way: any data makes one until the answer begins. */
-function isIdle({isOpen, isBusy, hasEnded}: SeenFlow): boolean {
+/** Whether a flow is open without a pending request. */
+function isIdle({
+  isOpen,
+  hasPendingRequest: isBusy,
+  hasEnded,
+}: SeenFlow): boolean {
   return isOpen && !isBusy && !hasEnded;
 }
 
-/** Not the packet itself: it would keep its bytes. */
+/** Copies the position, so that the bytes of the packet are not retained. */
 function positionOf(packet: CookiePacket): CallerPosition {
   const {sourceAddress, sourcePort, acknowledged} = packet;
   const {destinationAddress, destinationPort} = packet;
--- a/src/routing/server-choice.ts
+++ b/src/routing/server-choice.ts
@@ -1,86 +1,86 @@
 /**
- * The choice of a backend server for a new flow: who may take it at all, who of them
- * answers, and which of those is lightest.
+ * Selects the backend server for a new flow: filters by region, cold-start rate and
+ * responsiveness, then load balances among the remaining servers. Used by `CookieRouter`.
  */
 import type {Catalog} from '../catalog/catalog.js';
 import type {CatalogServer} from '../catalog/records.js';
 import type {KnownRoute} from '../catalog/route-table.js';
 import type {ServerRatings} from '../feedback/server-ratings.js';
-import {ColdOpenings, type ColdLimits} from './cold-openings.js';
+import {ColdStartLimiter, type ColdLimits} from './cold-openings.js';
 import type {Candidate, Placement} from './placement.js';
 import type {Random} from './random.js';
 import type {ServerLoadTracker} from './server-load-tracker.js';
 
-/**
- * Servers that are weighed for one opening: with 32, one that is idle is among
- * them for certain enough, and the cost does not grow with the service.
- */
-const LARGEST_CHOICE = 32;
+/** Servers compared for one new flow; bounds the cost for large services. */
+const MAX_CANDIDATES = 32;
 
-/** Share of its slots that a server has while it is slow from its start. */
-const COLD_SHARE = 0.6;
+/** Share of its slots that a server is weighted with while it is cold. */
+const COLD_CAPACITY_SHARE = 0.6;
 
-/** What a choice is made from. */
-export interface ServerChoiceOptions {
+/** Dependencies and settings of a `ServerSelector`. */
+export interface ServerSelectorOptions {
   readonly catalog: Catalog;
   readonly work: ServerLoadTracker;
   readonly placement: Placement;
   readonly random: Random;
-  /** What callers' packets tell of each server beside the others of its service. */
+  /** Performance ratings of the servers relative to others of their service. */
   readonly ratings: ServerRatings;
-  /** Told of a server that left a packet unanswered and is avoided from now on. */
+  /** Called when a server is found unresponsive and gets no new flows for a while. */
   onSilent(server: CatalogServer): void;
-  /** Told of each packet that a server left unanswered. */
+  /** Called for each packet that a server left unanswered. */
   onUnanswered(server: CatalogServer): void;
-  /** Whether daemons of several failure domains cannot reach a server. */
+  /** Whether daemons in several failure domains found the server unreachable. */
   isUnreachable(server: string): boolean;
-  /** The region of a failure domain; undefined if none is known. */
+  /** Returns the region of a failure domain; undefined if it is not known. */
   regionOf(failureDomain: string): string | undefined;
   readonly coldLimits: ColdLimits;
-  /** How many daemons open flows; undefined while that is not known. */
+  /** Returns how many daemons open flows; undefined while that is not known. */
   countDaemons(): number | undefined;
 }
 
-/** Chooses servers for the new flows of one daemon. */
-export class ServerChoice {
-  private readonly coldOpenings: ColdOpenings;
+/** Selects servers for the new flows of one daemon. */
+export class ServerSelector {
+  private readonly coldStartLimiter: ColdStartLimiter;
 
-  private constructor(private readonly options: ServerChoiceOptions) {
+  private constructor(private readonly options: ServerSelectorOptions) {
     const {coldLimits, random} = options;
-    this.coldOpenings = ColdOpenings.create(coldLimits, random);
+    this.coldStartLimiter = ColdStartLimiter.create(coldLimits, random);
   }
 
-  /** Creates a choice without any history. */
-  static create(options: ServerChoiceOptions): ServerChoice {
-    return new ServerChoice(options);
+  /** Creates a selector that has opened no flows yet. */
+  static create(options: ServerSelectorOptions): ServerSelector {
+    return new ServerSelector(options);
   }
 
-  /** A server for a new flow; undefined when the route's service has none. */
-  choose(
+  /**
+   * Returns a server for a new flow, preferably not one of `triedServers`; undefined when
+   * the selected service has none that may take it. `now` is monotonic milliseconds.
+   */
+  select(
     route: KnownRoute,
-    tried: readonly CatalogServer[],
+    triedServers: readonly CatalogServer[],
     now: number,
   ): CatalogServer | undefined {
     const {catalog, placement, random} = this.options;
-    const service = this.chooseService(route);
-    const open = this.withinRegions(catalog.openServers(service), route);
-    const admitted = this.withinColdRate(open, service, now);
+    const service = this.selectService(route);
+    const eligible = this.filterByRegion(catalog.openServers(service), route);
+    const admitted = this.filterByColdRate(eligible, service, now);
     const servers = this.sample(admitted).filter(
       server => catalog.cookieOf(server, route) !== undefined,
     );
-    this.noteOverdue(servers, now);
-    const usable = this.usableOf(servers, tried, now);
+    this.recordOverdueOpenings(servers, now);
+    const usable = this.filterUsable(servers, triedServers, now);
     if (usable.length === 0) {
       return undefined;
     }
     const candidates = usable.map((server, index) =>
-      this.candidateOf(server, index, now),
+      this.createCandidate(server, index, now),
     );
     return usable[placement.choose(candidates, random.below(usable.length))];
   }
 
-  /** Servers that may take a route's flows: all, unless it is bound to regions. */
-  private withinRegions(
+  /** Returns the servers in the regions that a route is bound to; all if it is not bound. */
+  private filterByRegion(
     servers: readonly CatalogServer[],
     {regions}: KnownRoute,
   ): readonly CatalogServer[] {
@@ -93,11 +93,11 @@
   }
 
   /**
-   * Warm servers alone, where a service states what a cold one takes. While it has none,
-   * the cold ones at which this daemon may open a flow now; none if the daemons cannot
-   * be counted.
+   * Returns the warm servers alone if the service limits the request rate of cold ones.
+   * While none is warm, returns the cold ones whose rate limit admits a flow now; none if
+   * the number of daemons is not known. Without a limit all servers are returned.
    */
-  private withinColdRate(
+  private filterByColdRate(
     servers: readonly CatalogServer[],
     service: string,
     now: number,
@@ -113,104 +113,110 @@
       return warm;
     }
     return servers.filter(({id}) =>
-      this.coldOpenings.admits(id, rate, daemons, now),
+      this.coldStartLimiter.admits(id, rate, daemons, now),
     );
   }
 
-  /** Notes that a flow was opened; a cold server takes the next by a new chance. */
-  noteOpening(server: CatalogServer, now: number): void {
+  /** Records that a flow was opened, which counts against the rate limit of a cold server. */
+  recordOpening(server: CatalogServer, now: number): void {
     const {catalog} = this.options;
     const rate = catalog.coldRateOf(server.service);
     const daemons = this.options.countDaemons();
     if (rate > 0 && daemons !== undefined && catalog.isCold(server, now)) {
-      this.coldOpenings.noteOpening(server.id, rate, daemons, now);
+      this.coldStartLimiter.recordOpening(server.id, rate, daemons, now);
     }
   }
 
-  /** All of a small service; of a large one some neighbours, by chance. */
+  /** Returns all servers, or `MAX_CANDIDATES` successive ones from a random position. */
   private sample(servers: readonly CatalogServer[]): readonly CatalogServer[] {
-    if (servers.length <= LARGEST_CHOICE) {
+    if (servers.length <= MAX_CANDIDATES) {
       return servers;
     }
     const start = this.options.random.below(servers.length);
-    const end = servers.slice(start, start + LARGEST_CHOICE);
-    return [...end, ...servers.slice(0, LARGEST_CHOICE - end.length)];
+    const tail = servers.slice(start, start + MAX_CANDIDATES);
+    return [...tail, ...servers.slice(0, MAX_CANDIDATES - tail.length)];
   }
 
-  /** Servers that left an opening unanswered for longer than usual are avoided. */
-  private noteOverdue(servers: readonly CatalogServer[], now: number): void {
-    const {work} = this.options;
+  /** Records servers with an overdue answer to an opening packet as unresponsive. */
+  private recordOverdueOpenings(
+    servers: readonly CatalogServer[],
+    now: number,
+  ): void {
+    const {work: loadTracker} = this.options;
     servers
-      .filter(({id}) => work.hasRefused(id, now))
-      .forEach(server => this.noteUnanswered(server, now));
+      .filter(({id}) => loadTracker.hasOverdueOpening(id, now))
+      .forEach(server => this.recordUnanswered(server, now));
   }
 
   /**
-   * Servers not tried yet that answer. When fewer than half of the servers
-   * answer, silence counts for nothing: it may be this daemon's network.
+   * Returns responsive servers that are not ejected, those not tried yet if there are any.
+   * When fewer than half are responsive, responsiveness is ignored: the fault may be in
+   * this daemon's network.
    */
-  private usableOf(
+  private filterUsable(
     servers: readonly CatalogServer[],
-    tried: readonly CatalogServer[],
+    triedServers: readonly CatalogServer[],
     now: number,
   ): readonly CatalogServer[] {
-    const {work} = this.options;
-    const answering = servers.filter(
-      ({id}) => !work.isSilent(id, now) && !this.options.isUnreachable(id),
+    const {work: loadTracker} = this.options;
+    const responsive = servers.filter(
+      ({id}) =>
+        !loadTracker.isUnresponsive(id, now) && !this.options.isUnreachable(id),
     );
-    const trusted =
-      answering.length * 2 >= servers.length ? answering : servers;
-    const rated = this.withoutEjected(trusted, now);
-    const untried = rated.filter(
-      ({id}) => !tried.some(server => server.id === id),
+    const considered =
+      responsive.length * 2 >= servers.length ? responsive : servers;
+    const notEjected = this.excludeEjected(considered, now);
+    const untried = notEjected.filter(
+      ({id}) => !triedServers.some(server => server.id === id),
     );
-    return untried.length > 0 ? untried : rated;
+    return untried.length > 0 ? untried : notEjected;
   }
 
-  /** Servers that are not ejected; all if every one of them is. */
-  private withoutEjected(
+  /** Returns the servers that are not ejected; all if every one is. */
+  private excludeEjected(
     servers: readonly CatalogServer[],
     now: number,
   ): readonly CatalogServer[] {
     const {ratings} = this.options;
-    const kept = servers.filter(({id}) => !ratings.ratingOf(id, now).isEjected);
-    return kept.length > 0 ? kept : servers;
+    const remaining = servers.filter(
+      ({id}) => !ratings.ratingOf(id, now).isEjected,
+    );
+    return remaining.length > 0 ? remaining : servers;
   }
 
-  /** A server as the placement sees it; `index` is its position in the choice. */
-  private candidateOf(
+  /** Creates the placement candidate of a server; `index` is its position in the list. */
+  private createCandidate(
     server: CatalogServer,
     index: number,
     now: number,
   ): Candidate {
-    const {work, placement, catalog, ratings} = this.options;
+    const {work: loadTracker, placement, catalog, ratings} = this.options;
     const rating = ratings.ratingOf(server.id, now);
-    const warm = catalog.isCold(server, now) ? COLD_SHARE : 1;
-    const ownFlows = work.countLocalInFlight(server.id);
+    const capacityShare = catalog.isCold(server, now) ? COLD_CAPACITY_SHARE : 1;
+    const ownFlows = loadTracker.countLocalInFlight(server.id);
     const flows = placement.usesPeerLoad
-      ? work.countInFlight(server.id, now)
+      ? loadTracker.countInFlight(server.id, now)
       : ownFlows;
-    const weight = server.slots * warm * rating.weight;
+    const weight = server.slots * capacityShare * rating.weight;
     return {server: index, weight, flows, ownFlows};
   }
 
-  /** One of the route's services, by their weights. */
-  private chooseService(route: KnownRoute): string {
+  /** Selects one of the route's services at random by weight. */
+  private selectService(route: KnownRoute): string {
     const total = route.shares.reduce((sum, {weight}) => sum + weight, 0);
     const point = this.options.random.next() * total;
-    // The end of each share on the line from 0 to the total.
-    const ends = route.shares.map((_share, index) =>
+    const cumulativeWeights = route.shares.map((_share, index) =>
       route.shares
         .slice(0, index + 1)
         .reduce((sum, {weight}) => sum + weight, 0),
     );
-    const index = ends.findIndex(end => point < end);
+    const index = cumulativeWeights.findIndex(end => point < end);
     return route.shares[Math.max(0, index)]?.service ?? '';
   }
 
-  /** Counts a packet without an answer; tells of a server that falls silent. */
-  noteUnanswered(server: CatalogServer, now: number): void {
-    if (this.options.work.noteUnanswered(server.id, now)) {
+  /** Records a packet left unanswered and reports a server that became unresponsive. */
+  recordUnanswered(server: CatalogServer, now: number): void {
+    if (this.options.work.recordUnanswered(server.id, now)) {
       this.options.onSilent(server);
     }
     this.options.onUnanswered(server);
--- a/src/routing/server-load-tracker.ts
+++ b/src/routing/server-load-tracker.ts
@@ -1,220 +1,224 @@
 /**
- * Unfinished requests at backend servers, as the packets of callers show them:
- * this daemon's own counts and what its peers told of theirs. Also which servers
- * answer: an opening packet that has to be sent again is a sign against one.
+ * Tracks the load and responsiveness of backend servers: requests in flight from this
+ * daemon and, by gossip, from its peers; and servers that left packets unanswered, which
+ * get no new flows until a backoff has passed. Used by `CookieRouter`.
  */
 import type {ServerWork} from '../generated/catalog.js';
 import type {Hasher} from '../ports/hasher.js';
 import {ServerHashes} from './server-hashes.js';
 
-/** Time for which what a peer told counts: three beats, in milliseconds. */
-const TOLD_LIFETIME_MS = 1_500;
+/** Time for which a load report of a peer counts: three heartbeats. */
+const PEER_LOAD_LIFETIME_MS = 1_500;
 /**
- * Time for which a server that left a packet unanswered gets no new flows, in
- * milliseconds. It doubles with each time that it was tried again in vain.
+ * Time without new flows after a server left a packet unanswered. Doubles each time until
+ * the server answers.
  */
-const FIRST_AVOIDANCE_MS = 800;
-/** Longest such time, in milliseconds. */
-const LONGEST_AVOIDANCE_MS = 6_400;
+const INITIAL_BACKOFF_MS = 800;
+const MAX_BACKOFF_MS = 6_400;
 /**
- * Times the usual time to answer an opening after which a server that has not
- * answered is taken to have refused it: refusals go to the caller alone.
+ * Multiple of the average time to answer an opening packet at which an answer is overdue.
+ * A server that refuses a flow answers the caller alone, so this daemon can only infer it.
  */
-const PATIENCE = 4;
-/** Shortest such wait, in milliseconds: twice a round trip to far callers. */
-const SHORTEST_PATIENCE_MS = 25;
-/** Usual time to answer an opening before one was seen, in milliseconds. */
-const FIRST_ANSWER_MS = 10;
-/** Share of the newest answer in the usual time. */
-const ANSWER_SHARE = 0.1;
-/** Servers told of in one beat. */
-const TOLD_SERVERS = 40;
-
-/** What this daemon saw of one server. */
-interface ServerSight {
-  unfinished: number;
-  /** Times that it was avoided since it last answered. */
-  avoidances: number;
-  /** Monotonic milliseconds until which it gets no new flows. */
-  avoidUntil: number;
-  /** When the oldest opening without an answer was sent; Infinity: none. */
-  openingSince: number;
-  /** When it last answered; monotonic milliseconds. */
+const OVERDUE_FACTOR = 4;
+/** Minimum time until an answer is overdue: two round trips to distant callers. */
+const MIN_OVERDUE_MS = 25;
+/** Initial value of the average time to answer an opening packet. */
+const INITIAL_OPENING_ANSWER_MS = 10;
+/** Weight of the newest sample in that moving average. */
+const OPENING_ANSWER_EWMA_WEIGHT = 0.1;
+/** Servers reported in one heartbeat. */
+const MAX_GOSSIPED_SERVERS = 40;
+
+/** What this daemon observed of one server; times are monotonic milliseconds. */
+interface ServerObservation {
+  /** Requests of this daemon that were not answered yet. */
+  inFlight: number;
+  /** Backoffs since it last answered. */
+  backoffCount: number;
+  /** When it may get new flows again. */
+  backoffUntil: number;
+  /** When the oldest unanswered opening packet was sent; Infinity: none. */
+  openingSentAt: number;
+  /** When it last answered; -Infinity: never. */
   answeredAt: number;
 }
 
-/** What one peer told of one server. */
-interface ToldWork {
+/** Load of one server as a peer reported it. */
+interface PeerServerLoad {
   readonly unfinished: number;
   readonly silent: boolean;
 }
 
-/** All that one peer told last. */
-interface ToldVector {
-  readonly work: Map<number, ToldWork>;
-  /** Monotonic milliseconds after which it says nothing any more. */
+/** The newest load report of one peer, by server hash. */
+interface PeerLoadReport {
+  readonly loads: Map<number, PeerServerLoad>;
+  /** When the report expires; monotonic milliseconds. */
   readonly validUntil: number;
 }
 
-/** Work and silence of the servers that one daemon sends to. */
+/** Load and responsiveness of the servers that one daemon sends to. */
 export class ServerLoadTracker {
-  private readonly sights = new Map<number, ServerSight>();
-  private readonly told = new Map<number, ToldVector>();
-  /** Smoothed time from an opening to the caller's next packet, in milliseconds. */
-  private usualAnswerMs = FIRST_ANSWER_MS;
+  private readonly observed = new Map<number, ServerObservation>();
+  private readonly peerReports = new Map<number, PeerLoadReport>();
+  /** Moving average of the time from an opening packet to the caller's next packet. */
+  private averageOpeningAnswerMs = INITIAL_OPENING_ANSWER_MS;
 
   private constructor(private readonly hashes: ServerHashes) {}
 
-  /** Creates an empty ledger. */
+  /** Creates a tracker without observations or reports. */
   static create(hasher: Hasher): ServerLoadTracker {
     return new ServerLoadTracker(ServerHashes.create(hasher));
   }
 
-  /** Counts a request begun (+1) or answered (-1) at a server. */
-  count(server: string, change: number): void {
-    const sight = this.sightOf(server);
-    sight.unfinished = Math.max(0, sight.unfinished + change);
+  /** Adds to the requests in flight at a server: +1 for a new one, -1 for a finished one. */
+  adjustInFlight(server: string, change: number): void {
+    const state = this.observationOf(server);
+    state.inFlight = Math.max(0, state.inFlight + change);
   }
 
-  /** Notes that an opening was sent to a server. */
-  noteOpening(server: string, now: number): void {
-    const sight = this.sightOf(server);
-    sight.openingSince = Math.min(sight.openingSince, now);
+  /** Records that an opening packet was sent to a server. */
+  recordOpening(server: string, now: number): void {
+    const state = this.observationOf(server);
+    state.openingSentAt = Math.min(state.openingSentAt, now);
   }
 
-  /** Notes that a server answered the opening sent at `sentAt`. */
-  noteOpened(server: string, sentAt: number, now: number): void {
-    this.usualAnswerMs += (now - sentAt - this.usualAnswerMs) * ANSWER_SHARE;
-    this.noteAnswered(server, now);
+  /** Records that a server answered the opening packet sent at `sentAt`. */
+  recordOpeningAnswered(server: string, sentAt: number, now: number): void {
+    this.averageOpeningAnswerMs +=
+      (now - sentAt - this.averageOpeningAnswerMs) * OPENING_ANSWER_EWMA_WEIGHT;
+    this.recordAnswered(server, now);
   }
 
-  /** Notes that a server answered a packet. */
-  noteAnswered(server: string, now: number): void {
-    const sight = this.sightOf(server);
-    sight.answeredAt = now;
-    sight.openingSince = Infinity;
-    sight.avoidances = 0;
-    sight.avoidUntil = -Infinity;
+  /** Records that a server answered a packet; ends its backoff. */
+  recordAnswered(server: string, now: number): void {
+    const state = this.observationOf(server);
+    state.answeredAt = now;
+    state.openingSentAt = Infinity;
+    state.backoffCount = 0;
+    state.backoffUntil = -Infinity;
   }
 
   /**
-   * Notes that a packet had to be sent again; true if the server is avoided
-   * from now on. Further signs of the same silence change nothing.
+   * Records that a server left a packet unanswered. Starts a backoff and returns true,
+   * unless one is in progress.
    */
-  noteUnanswered(server: string, now: number): boolean {
-    const sight = this.sightOf(server);
-    if (sight.avoidUntil > now) {
+  recordUnanswered(server: string, now: number): boolean {
+    const state = this.observationOf(server);
+    if (state.backoffUntil > now) {
       return false;
     }
-    sight.openingSince = Infinity;
-    const doubled = FIRST_AVOIDANCE_MS * 2 ** sight.avoidances;
-    sight.avoidances += 1;
-    sight.avoidUntil = now + Math.min(doubled, LONGEST_AVOIDANCE_MS);
+    state.openingSentAt = Infinity;
+    const backoffMs = INITIAL_BACKOFF_MS * 2 ** state.backoffCount;
+    state.backoffCount += 1;
+    state.backoffUntil = now + Math.min(backoffMs, MAX_BACKOFF_MS);
     return true;
   }
 
-  /** Whether an opening was left without an answer for longer than is usual. */
-  hasRefused(server: string, now: number): boolean {
-    const sight = this.sights.get(this.hashes.of(server));
-    const patience = Math.max(
-      SHORTEST_PATIENCE_MS,
-      this.usualAnswerMs * PATIENCE,
+  /** Whether the answer to an opening packet is overdue. */
+  hasOverdueOpening(server: string, now: number): boolean {
+    const state = this.observed.get(this.hashes.of(server));
+    const overdueAfterMs = Math.max(
+      MIN_OVERDUE_MS,
+      this.averageOpeningAnswerMs * OVERDUE_FACTOR,
     );
-    return sight !== undefined && now - sight.openingSince > patience;
+    return state !== undefined && now - state.openingSentAt > overdueAfterMs;
   }
 
-  /** Unfinished requests at a server, over all daemons that told theirs. */
+  /** Returns the requests in flight at a server from this daemon and its reporting peers. */
   countInFlight(server: string, now: number): number {
     const hash = this.hashes.of(server);
-    const told = [...this.told.values()]
+    const peerInFlight = [...this.peerReports.values()]
       .filter(({validUntil}) => validUntil > now)
-      .reduce((sum, {work}) => sum + (work.get(hash)?.unfinished ?? 0), 0);
-    return (this.sights.get(hash)?.unfinished ?? 0) + told;
+      .reduce((sum, {loads}) => sum + (loads.get(hash)?.unfinished ?? 0), 0);
+    return (this.observed.get(hash)?.inFlight ?? 0) + peerInFlight;
   }
 
-  /** When a server last answered a packet of this daemon's; -Infinity: never. */
+  /** Returns when a server last answered a packet of this daemon; -Infinity: never. */
   answeredAt(server: string): number {
-    return this.sights.get(this.hashes.of(server))?.answeredAt ?? -Infinity;
+    return this.observed.get(this.hashes.of(server))?.answeredAt ?? -Infinity;
   }
 
-  /** Unfinished requests that this daemon sent. */
+  /** Returns the requests in flight at a server from this daemon alone. */
   countLocalInFlight(server: string): number {
-    return this.sights.get(this.hashes.of(server))?.unfinished ?? 0;
+    return this.observed.get(this.hashes.of(server))?.inFlight ?? 0;
   }
 
-  /** Whether a server is taken to be silent, by this daemon or by a peer. */
-  isSilent(server: string, now: number): boolean {
+  /** Whether a server is in backoff, at this daemon or at a reporting peer. */
+  isUnresponsive(server: string, now: number): boolean {
     const hash = this.hashes.of(server);
-    const sight = this.sights.get(hash);
-    if (sight !== undefined && sight.avoidUntil > now) {
+    const state = this.observed.get(hash);
+    if (state !== undefined && state.backoffUntil > now) {
       return true;
     }
-    return [...this.told.values()].some(
-      ({work, validUntil}) =>
-        validUntil > now && work.get(hash)?.silent === true,
+    return [...this.peerReports.values()].some(
+      ({loads, validUntil}) =>
+        validUntil > now && loads.get(hash)?.silent === true,
     );
   }
 
-  /** What to tell the peers: all work, or silent servers alone. */
+  /**
+   * Returns the load report for the peers: servers in backoff and, unless `onlySilent`,
+   * servers with requests in flight.
+   */
   selectLoadToGossip(now: number, onlySilent: boolean): ServerWork[] {
-    return [...this.sights]
+    return [...this.observed]
       .filter(
-        ([, {unfinished, avoidUntil}]) =>
-          avoidUntil > now || (unfinished > 0 && !onlySilent),
+        ([, {inFlight, backoffUntil}]) =>
+          backoffUntil > now || (inFlight > 0 && !onlySilent),
       )
-      .slice(0, TOLD_SERVERS)
-      .map(([server, {unfinished, avoidUntil}]) => ({
+      .slice(0, MAX_GOSSIPED_SERVERS)
+      .map(([server, {inFlight, backoffUntil}]) => ({
         server,
-        unfinished,
-        silent: avoidUntil > now,
+        unfinished: inFlight,
+        silent: backoffUntil > now,
       }));
   }
 
-  /** Takes what a peer told. */
+  /** Replaces the load report of a peer, by its address. */
   receive(peer: number, work: readonly ServerWork[], now: number): void {
-    this.told.set(peer, {
-      work: new Map(work.map(entry => [entry.server, entry])),
-      validUntil: now + TOLD_LIFETIME_MS,
+    this.peerReports.set(peer, {
+      loads: new Map(work.map(entry => [entry.server, entry])),
+      validUntil: now + PEER_LOAD_LIFETIME_MS,
     });
-    this.told.forEach(({validUntil}, address) => {
+    this.peerReports.forEach(({validUntil}, address) => {
       if (validUntil <= now) {
-        this.told.delete(address);
+        this.peerReports.delete(address);
       }
     });
   }
 
-  /** Drops what is known of a server, as told by peers too: it started again. */
+  /** Discards observations and reports of a server that restarted. */
   forget(server: string): void {
     const hash = this.hashes.of(server);
-    this.sights.delete(hash);
-    this.told.forEach(({work}) => work.delete(hash));
+    this.observed.delete(hash);
+    this.peerReports.forEach(({loads}) => loads.delete(hash));
   }
 
-  /** Drops what is known of servers other than these. */
+  /** Discards the observations of servers that are not listed. */
   retain(servers: readonly string[]): void {
-    const kept = new Set(servers.map(server => this.hashes.of(server)));
-    this.sights.forEach((_sight, hash) => {
-      if (!kept.has(hash)) {
-        this.sights.delete(hash);
+    const listed = new Set(servers.map(server => this.hashes.of(server)));
+    this.observed.forEach((_observation, hash) => {
+      if (!listed.has(hash)) {
+        this.observed.delete(hash);
       }
     });
-    this.hashes.retain(kept);
+    this.hashes.retain(listed);
   }
 
-  private sightOf(server: string): ServerSight {
+  private observationOf(server: string): ServerObservation {
     const hash = this.hashes.of(server);
-    const known = this.sights.get(hash);
+    const known = this.observed.get(hash);
     if (known !== undefined) {
       return known;
     }
     const created = {
-      unfinished: 0,
-      avoidances: 0,
-      avoidUntil: -Infinity,
-      openingSince: Infinity,
+      inFlight: 0,
+      backoffCount: 0,
+      backoffUntil: -Infinity,
+      openingSentAt: Infinity,
       answeredAt: -Infinity,
     };
-    this.sights.set(hash, created);
+    this.observed.set(hash, created);
     return created;
   }
 }
