--- a/src/feedback/server-ratings.ts
+++ b/src/feedback/server-ratings.ts
@@ -1,30 +1,29 @@
 /**
- * What callers' packets tell of a backend server, beside the others of its service at
- * the same time: how large a share of new flows it should get, and whether it should
- * get any.
+ * Ratings of backend servers by their performance relative to others of their service:
+ * a weight for new flows, and outlier ejection. Used by `ServerSelector`.
  */
 
 /** The rating of one server. */
 export interface ServerRating {
   /**
-   * Share of new flows beside a usual server of the service with as many slots: 1 is
-   * usual, 0.2 a server that takes five times as long. Above 0.
+   * Share of new flows relative to a typical server of the service with as many slots,
+   * above 0: 1 is typical, 0.2 that of a server that takes five times as long.
    */
   readonly weight: number;
-  /** Its answers fail more often than others': it gets no new flows but for trials. */
+  /** Whether its requests fail more often than others', so that it gets no new flows. */
   readonly isEjected: boolean;
 }
 
-/** The rating of a server of which nothing is known, or nothing unusual. */
+/** The rating of a typical or unknown server. */
 export const NEUTRAL_RATING: ServerRating = {weight: 1, isEjected: false};
 
-/** Ratings of the servers of all services. */
+/** Provides the ratings of all servers. */
 export abstract class ServerRatings {
-  /** The rating of a server now; `now` is monotonic milliseconds. */
+  /** Returns the rating of a server; `now` is monotonic milliseconds. */
   abstract ratingOf(server: string, now: number): ServerRating;
 }
 
-/** All servers alike: what a daemon uses that takes no feedback. */
+/** Rates all servers equally; used by daemons without performance feedback. */
 export class EqualRatings extends ServerRatings {
   private constructor() {
     super();
--- a/src/routing/cold-openings.spec.ts
+++ b/src/routing/cold-openings.spec.ts
@@ -1,6 +1,6 @@
 /**
- * A model of callers that open flows while servers are cold: how many openings a cold
- * server gets in any second from daemons that decide by themselves.
+ * Simulates callers that open flows while servers are cold, and checks that a server is
+ * not overloaded by daemons that decide independently.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -8,44 +8,48 @@
 import {Random} from './random.js';
 
 const LIMITS = {excess: 1.5, slack: 5};
-/** Requests a second that a cold server takes, and what that lets arrive in a second. */
+/** Stated rate of a cold server, in requests per second, and its limit for one second. */
 const RATE = 10;
-const BOUND = RATE * LIMITS.excess + LIMITS.slack;
+const LIMIT = RATE * LIMITS.excess + LIMITS.slack;
 const SERVERS = Array.from({length: 12}, (_server, index) => `s-${index}`);
-const LASTS_MS = 4_000;
+const DURATION_MS = 4_000;
 
-/** Openings of a fleet, by server, as their times in milliseconds. */
+/** Times of the new flows of all daemons, by server, in milliseconds. */
 type Openings = ReadonlyMap<string, number[]>;
 
-/** What a model of a fleet is made from. */
-interface Load {
+/** Parameters of a simulation. */
+interface Simulation {
   readonly daemons: number;
-  /** How many each daemon takes them to be. */
-  readonly counted: number;
+  /** The number of daemons that each daemon assumes. */
+  readonly assumed: number;
   readonly openingsPerMs: number;
 }
 
-/** All servers are cold: each opening goes to one that admits it, if there is any. */
-function playAllCold({daemons, counted, openingsPerMs}: Load): Openings {
+/** Simulates cold servers alone: each flow goes to the first one that admits it, if any. */
+function simulateColdServers({
+  daemons,
+  assumed,
+  openingsPerMs,
+}: Simulation): Openings {
   const random = Random.create(7);
   const fleet = Array.from({length: daemons}, (_daemon, index) =>
     ColdStartLimiter.create(LIMITS, Random.createOwn(index, 0)),
   );
   const openings = new Map<string, number[]>();
-  Array.from({length: LASTS_MS * openingsPerMs}, (_opening, index) => {
+  Array.from({length: DURATION_MS * openingsPerMs}, (_opening, index) => {
     const now = Math.floor(index / openingsPerMs);
     const daemon = fleet[random.below(daemons)];
-    const server = SERVERS.find(id => daemon.admits(id, RATE, counted, now));
+    const server = SERVERS.find(id => daemon.admits(id, RATE, assumed, now));
     if (server !== undefined) {
-      daemon.recordOpening(server, RATE, counted, now);
+      daemon.recordOpening(server, RATE, assumed, now);
       openings.set(server, [...(openings.get(server) ?? []), now]);
     }
   });
   return openings;
 }
 
-/** Most openings at one server within any second. */
-function mostInASecond(openings: Openings): number {
+/** Returns the largest number of new flows at one server within any second. */
+function maxPerSecond(openings: Openings): number {
   const counts = [...openings.values()].flatMap(times =>
     times.map(
       (from, index) =>
@@ -60,27 +64,34 @@
 }
 
 [8, 90, 300, 5_606].forEach(daemons =>
-  test(`openings of ${daemons} daemons stay within what a cold server takes, counted right or by half`, () => {
-    [daemons, Math.ceil(daemons / 2)].forEach(counted => {
-      const openings = playAllCold({daemons, counted, openingsPerMs: 4});
-      const most = mostInASecond(openings);
-      // Flows go on: half of what the bound allows is left to their requests.
-      assert.ok(most <= BOUND / 2, `${most} in a second, counted ${counted}`);
+  test(`new flows from ${daemons} daemons stay within the limit of a cold server, even if half are unknown`, () => {
+    [daemons, Math.ceil(daemons / 2)].forEach(assumed => {
+      const openings = simulateColdServers({
+        daemons,
+        assumed,
+        openingsPerMs: 4,
+      });
+      const most = maxPerSecond(openings);
+      // Half of the limit is reserved for further requests of these flows.
+      assert.ok(
+        most <= LIMIT / 2,
+        `${most} in a second, ${assumed} daemons assumed`,
+      );
       assert.ok(countAll(openings) > 0 || daemons > 5_000);
     });
   }),
 );
 
-test('chances that nobody used are not saved up for a storm', () => {
+test('unused permits do not accumulate', () => {
   const daemon = ColdStartLimiter.create(LIMITS, Random.create(3));
   const admitted = SERVERS.filter(id => daemon.admits(id, RATE, 90, 0));
   assert.deepEqual(admitted, []);
-  // An hour later each server's chance has come and gone.
+  // An hour later the permit of each server has expired.
   const later = SERVERS.filter(id => daemon.admits(id, RATE, 90, 3_600_000));
   assert.deepEqual(later, []);
 });
 
-test('a rate that leaves nothing to chance admits nobody', () => {
+test('a rate too low for any flow admits none', () => {
   const daemon = ColdStartLimiter.create(
     {excess: 1, slack: 0},
     Random.create(3),
--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -123,9 +123,9 @@
       : this.routeByCookie(packet, route);
   }
 
-  /** Reports requests that have completed or exceeded their target to the observer. */
-  settleRequests(): void {
-    this.requestTracker?.endDue(this.options.clock.now());
+  /** Reports requests whose answer is complete or overdue to the observer. */
+  reportDueRequests(): void {
+    this.requestTracker?.reportDue(this.options.clock.now());
   }
 
   /** Routes a packet other than an opening one to the server in its cookie. */
@@ -196,7 +196,7 @@
   ): CookieRefusal {
     const {catalog, clock} = this.options;
     const {serversConfirmedAt} = catalog.stamp;
-    const isGone =
+    const serverHasEnded =
       packet.cookie !== NO_COOKIE &&
       !catalog.hasCookie(packet.cookie, route) &&
       this.unknownCookieFlows.isConfirmedAbsent(
@@ -205,7 +205,7 @@
         clock.now(),
       ) &&
       catalog.isAuthoritative;
-    return isGone
+    return serverHasEnded
       ? this.refuse(packet, RefusalReason.SERVER_GONE)
       : {verdict: CookieVerdict.DROP, reason: RefusalReason.UNKNOWN_COOKIE};
   }
@@ -240,7 +240,7 @@
     return {verdict: CookieVerdict.FORWARD, server, cookie};
   }
 
-  /** Forwards a retransmitted opening packet of a flow that is already open to its server. */
+  /** Forwards a retransmitted opening packet of an open flow to the flow's server. */
   private forwardLateOpening(
     server: CatalogServer,
     route: KnownRoute,
--- a/src/routing/flow-key.ts
+++ b/src/routing/flow-key.ts
@@ -1,8 +1,8 @@
-/** Flow keys: 64 bits of hash over a flow's four address fields. */
+/** Flow keys: 64-bit hashes of the addresses and ports of a flow. */
 import type {PacketHeader} from '../generated/packet.js';
 import type {Hasher} from '../ports/hasher.js';
 
-/** Number of partitions that flow keys fall into; each has an owner daemon. */
+/** Number of partitions of the flow keys; each is owned by one daemon. */
 export const PARTITION_COUNT = 256;
 
 const ADDRESS_BYTES = 12;
@@ -11,31 +11,31 @@
 
 /** A flow's 64-bit key as two unsigned 32-bit halves. */
 export interface FlowKey {
-  /** Chooses the entry of the lookup table. */
+  /** Selects the entry of the lookup table. */
   readonly high: number;
-  /** Chooses the partition, and so the owner. */
+  /** Selects the partition, and so its owner. */
   readonly low: number;
 }
 
-/** The address fields of a packet. */
+/** The addresses and ports of a packet. */
 export type FlowAddresses = Pick<
   PacketHeader,
   'sourceAddress' | 'sourcePort' | 'destinationAddress' | 'destinationPort'
 >;
 
-/** Computes flow keys; keeps one buffer, so it is not reentrant. */
+/** Computes flow keys; reuses one buffer for all of them. */
 export class FlowKeys {
   private readonly bytes = new Uint8Array(ADDRESS_BYTES);
   private readonly view = new DataView(this.bytes.buffer);
 
   private constructor(private readonly hasher: Hasher) {}
 
-  /** Creates the computation over a hash function. */
+  /** Creates a computation that uses a hash function. */
   static create(hasher: Hasher): FlowKeys {
     return new FlowKeys(hasher);
   }
 
-  /** The key of the flow that the packet belongs to. */
+  /** Returns the key of the flow that a packet belongs to. */
   of(flow: FlowAddresses): FlowKey {
     this.view.setUint32(0, flow.sourceAddress);
     this.view.setUint16(4, flow.sourcePort);
@@ -48,12 +48,12 @@
   }
 }
 
-/** The partition of a key. */
+/** Returns the partition of a key, below `PARTITION_COUNT`. */
 export function partitionOf(key: FlowKey): number {
   return key.low % PARTITION_COUNT;
 }
 
-/** A destination, or another address and port, as one number: a key of maps. */
+/** Returns an IPv4 address and a port as one number, for use as a map key. */
 export function destinationKey(address: number, port: number): number {
   return address * 65_536 + port;
 }
--- a/src/routing/ipv4.ts
+++ b/src/routing/ipv4.ts
@@ -1,17 +1,17 @@
-/** Conversion of IPv4 addresses and "ip:port" pairs. */
+/** Parses and formats IPv4 addresses and "ip:port" pairs. */
 
 const OCTETS = 4;
 const HIGHEST_OCTET = 255;
 const HIGHEST_PORT = 65_535;
 
-/** An address and a port. */
+/** An IPv4 address and a port. */
 export interface SocketAddress {
-  /** The IPv4 address as an unsigned 32-bit number. */
+  /** Unsigned 32-bit number. */
   readonly address: number;
   readonly port: number;
 }
 
-/** Reads "a.b.c.d"; undefined when the text is no IPv4 address. */
+/** Parses "a.b.c.d"; returns undefined if the text is not an IPv4 address. */
 export function parseIpv4(text: string): number | undefined {
   const parts = text.split('.');
   const valid =
@@ -24,12 +24,12 @@
     : undefined;
 }
 
-/** Writes an address number as "a.b.c.d". */
+/** Formats an address as "a.b.c.d". */
 export function formatIpv4(address: number): string {
   return [24, 16, 8, 0].map(shift => (address >>> shift) & 0xff).join('.');
 }
 
-/** Reads "a.b.c.d:port"; undefined when the text is something else. */
+/** Parses "a.b.c.d:port"; returns undefined if the text has another form or port 0. */
 export function parseSocketAddress(text: string): SocketAddress | undefined {
   const [host, portText, ...rest] = text.split(':');
   const address = parseIpv4(host ?? '');
@@ -42,7 +42,7 @@
     : {address, port};
 }
 
-/** Writes an address and port as "a.b.c.d:port". */
+/** Formats an address and port as "a.b.c.d:port". */
 export function formatSocketAddress(socket: SocketAddress): string {
   return `${formatIpv4(socket.address)}:${socket.port}`;
 }
--- a/src/routing/random.spec.ts
+++ b/src/routing/random.spec.ts
@@ -7,7 +7,7 @@
 const DAEMONS = 200;
 const BINS = 20;
 
-test('daemons on neighbouring addresses that start together draw unlike numbers from the first on', () => {
+test('first draws of processes on adjacent addresses that start together spread evenly', () => {
   const streams = Array.from({length: DAEMONS}, (_daemon, index) =>
     Random.createOwn(FIRST_ADDRESS + index, START_MS + (index % 3)),
   );
@@ -16,13 +16,13 @@
     streams.forEach(stream => {
       bins[Math.floor(stream.next() * BINS)] += 1;
     });
-    // Ten each on the average; even chance fills none with over 25.
+    // Ten a bin on average; more than 25 in one are practically impossible by chance.
     assert.ok(Math.max(...bins) <= 25, `draw ${draw}: ${bins.join(' ')}`);
     assert.ok(Math.min(...bins) >= 1, `draw ${draw}: ${bins.join(' ')}`);
   });
 });
 
-test('a seed gives the same numbers each time', () => {
+test('the same seed yields the same numbers', () => {
   const draw = () => {
     const random = Random.create(7);
     return Array.from({length: 5}, () => random.next());
--- a/src/routing/random.ts
+++ b/src/routing/random.ts
@@ -1,17 +1,15 @@
-/** Seeded random numbers. */
+/** Seeded pseudo-random numbers. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 
 const RESOLUTION = 0x3fffffff;
 /**
- * Numbers that are dropped from the start of a process's own stream. The first ones of
- * this generator depend on a few bits of the seed alone: of 195 daemons with addresses
- * next to each other, started together, all drew 0.257 first, and from the tenth number
- * on they spread evenly.
+ * Numbers discarded from the start of a process's stream. The first ones depend on a few
+ * bits of the seed alone, so that similar seeds would yield equal numbers.
  */
 const WARM_UP_DRAWS = 16;
 
-/** A stream of random numbers from a seed. */
+/** A stream of pseudo-random numbers that is determined by its seed. */
 export class Random {
   private readonly generator;
 
@@ -19,14 +17,14 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** Creates the stream of a seed. */
+  /** Creates the stream of a seed; the same seed yields the same numbers. */
   static create(seed: number): Random {
     return new Random(seed);
   }
 
   /**
-   * Creates the stream of one process, unlike those of others which start at the same
-   * moment on neighbouring addresses.
+   * Creates the stream of one process, seeded by its IPv4 address and start time. Streams
+   * differ between processes that start at the same time on adjacent addresses.
    */
   static createOwn(address: number, wallMs: number): Random {
     const random = new Random((address ^ wallMs) >>> 0);
@@ -34,27 +32,27 @@
     return random;
   }
 
-  /** A number from 0 to below 1. */
+  /** Returns a number in [0, 1). */
   next(): number {
     return uniformInt(this.generator, 0, RESOLUTION) / (RESOLUTION + 1);
   }
 
-  /** A whole number from 0 to below `bound`. */
+  /** Returns an integer in [0, `bound`). */
   below(bound: number): number {
     return Math.floor(this.next() * bound);
   }
 
-  /** Whether an event of a probability happens. */
+  /** Returns true with the given probability. */
   happens(probability: number): boolean {
     return probability > 0 && this.next() < probability;
   }
 
-  /** One of the items; undefined when there is none. */
+  /** Returns one of the items with equal probability; undefined if there are none. */
   pick<T>(items: readonly T[]): T | undefined {
     return items[this.below(items.length)];
   }
 
-  /** An exponentially distributed number with a mean. */
+  /** Returns an exponentially distributed number with the given mean. */
   exponential(mean: number): number {
     return -Math.log(1 - this.next()) * mean;
   }
--- a/src/routing/request-outcome.ts
+++ b/src/routing/request-outcome.ts
@@ -1,53 +1,53 @@
 /**
- * How requests end, as the packets of their callers show it: a daemon sees when a
- * request passes and how the caller's acknowledgements grow, never the answer itself.
+ * Outcomes of requests, and the observers that are notified of them. Daemons see only the
+ * packets of callers, so an answer is inferred from the caller's acknowledgements.
  */
 import type {CatalogServer} from '../catalog/records.js';
 import type {KnownRoute} from '../catalog/route-table.js';
 
 /** How a request ended. */
 export const RequestEnd = {
-  /** The caller acknowledged an answer, and then nothing more for a while. */
+  /** The caller acknowledged an answer, which is complete. */
   ANSWERED: 'answered',
   /** The caller closed or reset the flow before it acknowledged any answer. */
-  ABANDONED: 'left',
-  /** No answer within the time that the route's callers are to have one. */
+  ABANDONED: 'abandoned',
+  /** There was no answer within the target time of the route. */
   OVERDUE: 'overdue',
 } as const;
 /** One of the ends in `RequestEnd`. */
 export type RequestEnd = (typeof RequestEnd)[keyof typeof RequestEnd];
 
-/** One request that ended; times are monotonic milliseconds. */
+/** The outcome of one request; times are monotonic milliseconds. */
 export interface RequestOutcome {
   readonly server: CatalogServer;
   readonly route: KnownRoute;
   /** IPv4 address of the caller as an unsigned number. */
   readonly caller: number;
   readonly end: RequestEnd;
-  /** When its first data passed. */
+  /** When its first data packet passed. */
   readonly startedAt: number;
-  /** When its newest data passed: the server had all of it not before. */
+  /** When its last data packet passed; the server cannot have had all of it before. */
   readonly lastDataAt: number;
   /** When the caller first acknowledged some of the answer; Infinity: never. */
   readonly answeredAt: number;
-  /** Bytes of the request that passed, repeated ones included. */
+  /** Bytes of the request that passed, retransmitted ones included. */
   readonly requestBytes: number;
   /** Bytes of the answer that the caller acknowledged. */
   readonly answerBytes: number;
 }
 
-/** Told of requests as they end. */
+/** Is notified of requests as they end. */
 export abstract class RequestObserver {
   abstract onEnd(outcome: RequestOutcome, now: number): void;
 }
 
-/** Tells several observers of the same ends. */
+/** Notifies several observers. */
 export class CompositeRequestObserver extends RequestObserver {
   private constructor(private readonly observers: readonly RequestObserver[]) {
     super();
   }
 
-  /** The observers as one; undefined if there is none. */
+  /** Returns an observer that notifies all others; undefined if there are none. */
   static create(
     observers: readonly RequestObserver[],
   ): RequestObserver | undefined {
--- a/src/routing/request-tracker.spec.ts
+++ b/src/routing/request-tracker.spec.ts
@@ -18,57 +18,57 @@
 const SERVER = createServer('i-1', 'pay');
 const FLOW = 'flow';
 
-/** Keeps what it is told. */
-class Ends extends RequestObserver {
-  readonly told: RequestOutcome[] = [];
+/** Collects the reported outcomes. */
+class RecordingObserver extends RequestObserver {
+  readonly outcomes: RequestOutcome[] = [];
 
   onEnd(outcome: RequestOutcome): void {
-    this.told.push(outcome);
+    this.outcomes.push(outcome);
   }
 }
 
-function watchFlow() {
-  const ends = new Ends();
-  const watch = RequestTracker.create(ends);
+function trackFlow() {
+  const observer = new RecordingObserver();
+  const tracker = RequestTracker.create(observer);
   const send = (now: number, part: Partial<CookiePacket>) =>
-    watch.recordPacket(FLOW, createPacket(part), ROUTE, SERVER, now);
-  return {ends, watch, send};
+    tracker.recordPacket(FLOW, createPacket(part), ROUTE, SERVER, now);
+  return {observer, tracker, send};
 }
 
-test('the next request ends the one before, with its time and its length', () => {
-  const {ends, send} = watchFlow();
+test('the next request ends the previous one, with its duration and answer length', () => {
+  const {observer, send} = trackFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
   send(30, {acknowledged: 2_200});
   send(31, {acknowledged: 3_000});
-  assert.equal(ends.told.length, 0);
+  assert.equal(observer.outcomes.length, 0);
   send(5_000, {dataLength: 200, acknowledged: 3_000});
-  const [first] = ends.told;
+  const [first] = observer.outcomes;
   assert.equal(first.end, RequestEnd.ANSWERED);
   assert.equal(first.answeredAt - first.lastDataAt, 30);
   assert.equal(first.answerBytes, 2_000);
   assert.equal(first.caller, createPacket({}).sourceAddress);
 });
 
-test('an answer after which nothing comes is complete after a while', () => {
-  const {ends, watch, send} = watchFlow();
+test('an answer is complete after a time without new acknowledgements', () => {
+  const {observer, tracker, send} = trackFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
   send(30, {acknowledged: 2_200});
-  watch.endDue(200);
-  assert.equal(ends.told.length, 0);
-  watch.endDue(300);
-  assert.equal(ends.told[0].end, RequestEnd.ANSWERED);
-  assert.equal(ends.told[0].answerBytes, 1_200);
-  assert.equal(watch.size, 0);
+  tracker.reportDue(200);
+  assert.equal(observer.outcomes.length, 0);
+  tracker.reportDue(300);
+  assert.equal(observer.outcomes[0].end, RequestEnd.ANSWERED);
+  assert.equal(observer.outcomes[0].answerBytes, 1_200);
+  assert.equal(tracker.size, 0);
 });
 
-test('a flow closed without an answer is left, one with an answer is not', () => {
-  const {ends, send} = watchFlow();
+test('a request is abandoned if its flow is closed before an answer, not after one', () => {
+  const {observer, send} = trackFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
   send(20, {closes: true, acknowledged: 1_000});
   send(30, {dataLength: 200, acknowledged: 1_000});
   send(50, {closes: true, acknowledged: 1_159});
   assert.deepEqual(
-    ends.told.map(({end, answerBytes}) => [end, answerBytes]),
+    observer.outcomes.map(({end, answerBytes}) => [end, answerBytes]),
     [
       [RequestEnd.ABANDONED, 0],
       [RequestEnd.ANSWERED, 159],
@@ -76,35 +76,35 @@
   );
 });
 
-test('a request without an answer is overdue at the route target, once', () => {
-  const {ends, watch, send} = watchFlow();
+test('a request without an answer is reported as overdue once, at the target of its route', () => {
+  const {observer, tracker, send} = trackFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
-  watch.endDue(TARGET_MS - 1);
-  assert.equal(ends.told.length, 0);
-  watch.endDue(TARGET_MS);
-  watch.endDue(TARGET_MS + 500);
+  tracker.reportDue(TARGET_MS - 1);
+  assert.equal(observer.outcomes.length, 0);
+  tracker.reportDue(TARGET_MS);
+  tracker.reportDue(TARGET_MS + 500);
   assert.deepEqual(
-    ends.told.map(({end, answeredAt}) => [end, answeredAt]),
+    observer.outcomes.map(({end, answeredAt}) => [end, answeredAt]),
     [[RequestEnd.OVERDUE, Infinity]],
   );
 });
 
-test('an upload counts from its newest data, all of its bytes', () => {
-  const {ends, watch, send} = watchFlow();
+test('an upload is timed from its last data packet and counts all of its bytes', () => {
+  const {observer, tracker, send} = trackFlow();
   send(0, {dataLength: 1_200, acknowledged: 1_000});
   send(100, {dataLength: 1_200, acknowledged: 1_000});
   send(110, {acknowledged: 1_483});
-  watch.endDue(1_000);
-  const [upload] = ends.told;
+  tracker.reportDue(1_000);
+  const [upload] = observer.outcomes;
   assert.equal(upload.requestBytes, 2_400);
   assert.equal(upload.answeredAt - upload.lastDataAt, 10);
   assert.equal(upload.answeredAt - upload.startedAt, 110);
 });
 
-test('a request that was ended here is not told of', () => {
-  const {ends, watch, send} = watchFlow();
+test('a discarded request is not reported', () => {
+  const {observer, tracker, send} = trackFlow();
   send(0, {dataLength: 200, acknowledged: 1_000});
-  watch.discard(FLOW);
-  watch.endDue(10_000);
-  assert.equal(ends.told.length, 0);
+  tracker.discard(FLOW);
+  tracker.reportDue(10_000);
+  assert.equal(observer.outcomes.length, 0);
 });
--- a/src/routing/request-tracker.ts
+++ b/src/routing/request-tracker.ts
@@ -1,8 +1,7 @@
 /**
- * Follows the requests that pass one daemon to their ends, and tells an observer of
- * each once. A request is under way from its first data; its answer is complete when
- * the caller sends the next request, closes, or has acknowledged nothing new for a
- * while.
+ * Tracks the requests that pass one daemon and reports the outcome of each to an observer
+ * once. A request starts with its first data; its answer is complete when the caller sends
+ * the next request, closes the flow, or acknowledges nothing new for `ANSWER_IDLE_MS`.
  */
 import type {CatalogServer} from '../catalog/records.js';
 import type {KnownRoute} from '../catalog/route-table.js';
@@ -14,46 +13,48 @@
 } from './request-outcome.js';
 
 /**
- * Time without a new acknowledgement after which an answer is complete, in
- * milliseconds: callers repeat what they miss after 200 ms, servers too.
+ * Time without a new acknowledgement after which an answer is complete. Longer than the
+ * retransmission timeout of callers and servers, 200 ms.
  */
 const ANSWER_IDLE_MS = 250;
-/** Half of the range of positions, in bytes: what is further ahead lies behind. */
+/** Half of the 32-bit sequence space; a number further ahead is an older one. */
 const HALF_SEQUENCE_SPACE = 2 ** 31;
 
-/** A request whose end was not told yet. */
+/** A request whose outcome was not reported yet; times are monotonic milliseconds. */
 interface PendingRequest {
   readonly server: CatalogServer;
   readonly route: KnownRoute;
+  /** IPv4 address of the caller as an unsigned number. */
   readonly caller: number;
   readonly startedAt: number;
-  /** What the caller had acknowledged when it sent the request. */
+  /** Acknowledgement number of the caller at the start of the request. */
   readonly acknowledgedAtStart: number;
   lastDataAt: number;
+  /** When the caller first acknowledged some of the answer; Infinity: not yet. */
   answeredAt: number;
-  /** When the acknowledgement last grew; monotonic milliseconds. */
+  /** When the caller last acknowledged more of the answer. */
   lastAcknowledgedAt: number;
   requestBytes: number;
   answerBytes: number;
 }
 
-/** The requests under way at one daemon, by flow. */
+/** The pending requests of one daemon, by flow. */
 export class RequestTracker {
   private readonly pending = new Map<string, PendingRequest>();
 
   private constructor(private readonly observer: RequestObserver) {}
 
-  /** Creates a watch without requests. */
+  /** Creates a tracker without requests. */
   static create(observer: RequestObserver): RequestTracker {
     return new RequestTracker(observer);
   }
 
-  /** Requests whose end was not told yet. */
+  /** Number of requests whose outcome was not reported yet. */
   get size(): number {
     return this.pending.size;
   }
 
-  /** Takes a later packet of a flow, on its way to a server. */
+  /** Records a packet of an open flow that is forwarded to `server`. */
   recordPacket(
     flow: string,
     packet: CookiePacket,
@@ -70,23 +71,18 @@
     }
   }
 
-  /** Drops a flow's request without telling of it: it was ended here. */
+  /** Discards a flow's request unreported, when this daemon ended the flow. */
   discard(flow: string): void {
     this.pending.delete(flow);
   }
 
-  /** Tells of answers that are complete by now, and of requests that are overdue. */
-  endDue(now: number): void {
+  /** Reports requests whose answer is complete or overdue by the route's target. */
+  reportDue(now: number): void {
     this.pending.forEach((request, flow) => {
-      const {
-        answeredAt,
-        lastAcknowledgedAt: grownAt,
-        startedAt,
-        route,
-      } = request;
+      const {answeredAt, lastAcknowledgedAt, startedAt, route} = request;
       const isAnswered = answeredAt < Infinity;
       const dueAt = isAnswered
-        ? grownAt + ANSWER_IDLE_MS
+        ? lastAcknowledgedAt + ANSWER_IDLE_MS
         : startedAt + route.targetMs;
       if (dueAt <= now) {
         this.end(flow, RequestEnd.OVERDUE, now);
@@ -94,6 +90,7 @@
     });
   }
 
+  /** Updates the answer's length and times if the caller acknowledged more of it. */
   private recordAcknowledgement(
     flow: string,
     packet: CookiePacket,
@@ -111,7 +108,7 @@
     }
   }
 
-  /** Data after some of an answer is the next request. */
+  /** Adds data to the pending request; starts the next one if an answer has begun. */
   private recordData(
     flow: string,
     packet: CookiePacket,
@@ -140,7 +137,7 @@
     });
   }
 
-  /** Tells of a flow's request, if there is one; `unanswered` is its end without answer. */
+  /** Reports a flow's request, if any; `unanswered` is its end if it has no answer. */
   private end(flow: string, unanswered: RequestEnd, now: number): void {
     const request = this.pending.get(flow);
     if (request === undefined) {
@@ -155,14 +152,7 @@
   request: PendingRequest,
   unanswered: RequestEnd,
 ): RequestOutcome {
-  const {
-    server,
-    route,
-    caller,
-    startedAt,
-    lastDataAt: sentAt,
-    answeredAt,
-  } = request;
+  const {server, route, caller, startedAt, lastDataAt, answeredAt} = request;
   const {requestBytes, answerBytes} = request;
   const end = answeredAt < Infinity ? RequestEnd.ANSWERED : unanswered;
   return {
@@ -171,7 +161,7 @@
     caller,
     end,
     startedAt,
-    lastDataAt: sentAt,
+    lastDataAt,
     answeredAt,
     requestBytes,
     answerBytes,
--- a/src/routing/retained-packets.spec.ts
+++ b/src/routing/retained-packets.spec.ts
@@ -3,14 +3,14 @@
 import {createPacket} from '../../standins/cookie-packets.js';
 import {RetainedPackets} from './retained-packets.js';
 
-const HEAD_BYTES = 32;
+const HEADER_BYTES = 32;
 
 function packetOf(dataLength: number, acknowledged = 1) {
-  const bytes = new Uint8Array(HEAD_BYTES + dataLength);
+  const bytes = new Uint8Array(HEADER_BYTES + dataLength);
   return createPacket({dataLength, acknowledged, bytes});
 }
 
-test('the newest packet is kept, but not data in place of one that says the same', () => {
+test('the newest packet is retained unless it only adds data to the retained one', () => {
   const packets = RetainedPackets.create();
   const [opening, request] = [packetOf(0), packetOf(900)];
   const [answered, next] = [packetOf(0, 700), packetOf(900, 800)];
@@ -21,23 +21,26 @@
   assert.equal(packets.select(answered, next), next);
 });
 
-test('a packet that closes or gives up its flow is never kept', () => {
+test('a packet that closes or resets its flow is never retained', () => {
   const packets = RetainedPackets.create();
-  const kept = packetOf(0);
+  const retained = packetOf(0);
   const ends = [{closes: true}, {resets: true}];
   ends.forEach(part =>
-    assert.equal(packets.select(kept, {...packetOf(0, 9), ...part}), kept),
+    assert.equal(
+      packets.select(retained, {...packetOf(0, 9), ...part}),
+      retained,
+    ),
   );
 });
 
-test('60,000 flows whose only packet is a long one keep no more than the bound', () => {
+test('60,000 flows with large packets retain no more bytes than the limit', () => {
   const packets = RetainedPackets.create();
-  const kept = Array.from({length: 60_000}, () =>
+  const retained = Array.from({length: 60_000}, () =>
     packets.select(undefined, packetOf(1_200)),
   ).flatMap(packet => packet ?? []);
-  const bytes = kept.reduce((sum, packet) => sum + packet.bytes.length, 0);
+  const bytes = retained.reduce((sum, packet) => sum + packet.bytes.length, 0);
   assert.ok(bytes > 4_000_000 && bytes <= 4 * 1_024 * 1_024, `${bytes}`);
-  packets.release(kept[0]);
+  packets.release(retained[0]);
   const later = packetOf(1_200);
   assert.equal(packets.select(undefined, later), later);
 });
--- a/src/routing/retained-packets.ts
+++ b/src/routing/retained-packets.ts
@@ -1,62 +1,60 @@
 /**
- * Packets of callers that are kept, one a flow, to be sent to their server once more if
- * it starts again: it answers a packet of a flow that it does not hold with a reset, and
- * takes any other for a repeat by the network.
- *
- * Kept is the newest packet, but one without data is kept in place of data that came
- * after it and acknowledges the same: it is small, and gives the server nothing to run.
+ * Selects the packet to retain for each flow, within a memory limit. It is resent to a
+ * server that restarted, which answers a packet of an unknown flow with a reset and treats
+ * any other as a duplicate. Packets without data are preferred: they are small and do not
+ * make the server execute a request again. Used by `FlowTracker`.
  */
 import type {CookiePacket} from '../ports/cookie-fabric.js';
 
-/**
- * Bytes kept at the most. 60,000 flows take 2 MB without data; callers whose first packet
- * carries their request are kept while there is room.
- */
+/** Limits memory use: 60,000 packets without data take 2 MB. */
 const MAX_RETAINED_BYTES = 4 * 1_024 * 1_024;
 
-/** The bytes that one daemon keeps. */
+/** Counts the bytes of the packets that one daemon retains. */
 export class RetainedPackets {
   private bytes = 0;
 
   private constructor(private readonly maxBytes: number) {}
 
-  /** Keeps nothing yet. */
-  static create(mostBytes = MAX_RETAINED_BYTES): RetainedPackets {
-    return new RetainedPackets(mostBytes);
+  /** Creates a selection that retains nothing yet. */
+  static create(maxBytes = MAX_RETAINED_BYTES): RetainedPackets {
+    return new RetainedPackets(maxBytes);
   }
 
-  /** Which packet of a flow to keep from now on: the one that is, or a later one. */
+  /**
+   * Returns the packet of a flow to retain from now on: `packet`, or the one retained so
+   * far if `packet` ends the flow, adds only data, or exceeds the memory limit.
+   */
   select(
-    kept: CookiePacket | undefined,
+    retained: CookiePacket | undefined,
     packet: CookiePacket,
   ): CookiePacket | undefined {
-    const growth = packet.bytes.length - (kept?.bytes.length ?? 0);
-    const isWorse =
+    const growth = packet.bytes.length - (retained?.bytes.length ?? 0);
+    const keepsRetained =
       packet.closes ||
       packet.resets ||
-      addsOnlyData(kept, packet) ||
+      addsOnlyData(retained, packet) ||
       this.bytes + growth > this.maxBytes;
-    if (isWorse) {
-      return kept;
+    if (keepsRetained) {
+      return retained;
     }
     this.bytes += growth;
     return packet;
   }
 
-  /** Gives a packet up. */
-  release(kept: CookiePacket | undefined): void {
-    this.bytes -= kept?.bytes.length ?? 0;
+  /** Frees the memory of a packet that is no longer retained. */
+  release(retained: CookiePacket | undefined): void {
+    this.bytes -= retained?.bytes.length ?? 0;
   }
 }
 
-/** Whether a packet without data says all that a later one says besides its data. */
+/** Whether a packet differs from the retained one, which has no data, only by its data. */
 function addsOnlyData(
-  kept: CookiePacket | undefined,
+  retained: CookiePacket | undefined,
   packet: CookiePacket,
 ): boolean {
   return (
-    kept?.dataLength === 0 &&
+    retained?.dataLength === 0 &&
     packet.dataLength > 0 &&
-    kept.acknowledged === packet.acknowledged
+    retained.acknowledged === packet.acknowledged
   );
 }
--- a/src/routing/seen-flows.ts
+++ b/src/routing/seen-flows.ts
@@ -170,13 +170,13 @@
   ): void {
     this.removeExpired(now);
     this.options.loadTracker.recordOpening(server.id, now);
-    const known = this.find(packet);
+    const tracked = this.find(packet);
     const expiresAt = now + OPENING_RETENTION_MS;
-    if (known !== undefined && !known.isOpen) {
-      known.triedServers.push(server);
-      known.server = server;
-      known.openingSentAt = now;
-      known.expiresAt = expiresAt;
+    if (tracked !== undefined && !tracked.isOpen) {
+      tracked.triedServers.push(server);
+      tracked.server = server;
+      tracked.openingSentAt = now;
+      tracked.expiresAt = expiresAt;
       return;
     }
     this.add(packet, {
@@ -197,8 +197,8 @@
     cookieServer: CatalogServer,
     now: number,
   ): CatalogServer {
-    const known = this.find(packet);
-    const flow = known ?? this.addOpenFlow(packet, cookieServer, now);
+    const tracked = this.find(packet);
+    const flow = tracked ?? this.addOpenFlow(packet, cookieServer, now);
     if (!flow.isOpen) {
       flow.isOpen = true;
       flow.server = cookieServer;
@@ -213,7 +213,7 @@
     flow.expiresAt = now + IDLE_TIMEOUT_MS;
     flow.caller = positionOf(packet);
     flow.seenAt = now;
-    if (known !== undefined) {
+    if (tracked !== undefined) {
       this.retainPacket(flow, packet);
     }
     this.updateRequest(flow, packet, now);
--- a/src/routing/server-choice.ts
+++ b/src/routing/server-choice.ts
@@ -79,7 +79,7 @@
     return usable[placement.choose(candidates, random.below(usable.length))];
   }
 
-  /** Returns the servers in the regions that a route is bound to; all if it is not bound. */
+  /** Returns the servers in the regions of a route; all if it is bound to none. */
   private filterByRegion(
     servers: readonly CatalogServer[],
     {regions}: KnownRoute,
@@ -117,7 +117,7 @@
     );
   }
 
-  /** Records that a flow was opened, which counts against the rate limit of a cold server. */
+  /** Records that a flow was opened; it counts against the rate of a cold server. */
   recordOpening(server: CatalogServer, now: number): void {
     const {catalog} = this.options;
     const rate = catalog.coldRateOf(server.service);
--- a/src/routing/server-load-tracker.ts
+++ b/src/routing/server-load-tracker.ts
@@ -70,7 +70,7 @@
     return new ServerLoadTracker(ServerHashes.create(hasher));
   }
 
-  /** Adds to the requests in flight at a server: +1 for a new one, -1 for a finished one. */
+  /** Adjusts the requests in flight at a server: +1 for a new one, -1 for a finished one. */
   adjustInFlight(server: string, change: number): void {
     const state = this.observationOf(server);
     state.inFlight = Math.max(0, state.inFlight + change);
@@ -124,7 +124,7 @@
     return state !== undefined && now - state.openingSentAt > overdueAfterMs;
   }
 
-  /** Returns the requests in flight at a server from this daemon and its reporting peers. */
+  /** Returns the requests in flight at a server from this daemon and its peers. */
   countInFlight(server: string, now: number): number {
     const hash = this.hashes.of(server);
     const peerInFlight = [...this.peerReports.values()]
--- a/src/routing/unknown-cookies.ts
+++ b/src/routing/unknown-cookies.ts
@@ -1,37 +1,37 @@
 /**
- * Flows whose cookie names no server that is known. The server may be newer than
- * this daemon's list, or have ended before the daemon started; a list that was
- * read later than the flow was seen tells the two apart.
+ * Tracks flows whose cookie identifies no known server. The server may be newer than this
+ * daemon's server list, or may have ended; a list that was read after the flow's first
+ * packet tells the two apart. Used by `CookieRouter`.
  */
 import type {CookiePacket} from '../ports/cookie-fabric.js';
 
-/** Flows kept at the most; what is more is not told apart. */
+/** Limits memory use; flows beyond it are not tracked. */
 const MAX_FLOWS = 4_096;
-/** Time for which a flow is kept, in milliseconds: its longest pause and more. */
+/** Time for which a flow is tracked; longer than pauses between its packets. */
 const FLOW_RETENTION_MS = 5_000;
-/** By how much the list has to be younger than the flow's first packet, in milliseconds. */
+/** Minimum time from a flow's first packet to the read of a list that confirms absence. */
 const CONFIRMATION_MARGIN_MS = 200;
 
 interface UnknownFlow {
-  /** Monotonic milliseconds. */
+  /** Monotonic milliseconds, like `expiresAt`. */
   readonly firstSeenAt: number;
   readonly expiresAt: number;
 }
 
-/** Flows with unknown cookies that one daemon has seen of late. */
+/** Flows with unknown cookies that recently passed one daemon. */
 export class UnknownCookieFlows {
   private readonly flows = new Map<string, UnknownFlow>();
 
   private constructor() {}
 
-  /** Creates an empty record. */
+  /** Creates a tracker without flows. */
   static create(): UnknownCookieFlows {
     return new UnknownCookieFlows();
   }
 
   /**
-   * Notes a packet; true if the list read at `confirmedAt` is younger than the
-   * first packet of the flow, so that its server is surely not in it.
+   * Records a packet. Returns true if the server list was read, at `confirmedAt`, late
+   * enough after the flow's first packet to contain its server if that were running.
    */
   isConfirmedAbsent(
     packet: CookiePacket,
