--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -1,8 +1,10 @@
 /**
- * Probes of peers: who lives, who is in touch, and what each has staged.
+ * SWIM-style failure detector: probes peers, suspects and declares them dead,
+ * and exchanges membership updates and log positions with them.
  *
- * Up to `MESH_LIMIT` members each daemon probes every other one; above that a
- * constant number in turn, so that the cost a daemon does not grow.
+ * In a fleet of up to `MESH_LIMIT` members every peer is probed each round; in
+ * a larger one a fixed number in rotation, so the cost per daemon does not grow
+ * with the fleet.
  */
 import type {LoadVector, Probe} from '../generated/packet.js';
 import type {Clock, Timer} from '../ports/clock.js';
@@ -13,41 +15,40 @@
 import {
   MemberState,
   answersProbes,
-  lifeOf,
-  memberOf,
+  sessionOf,
+  memberFromUpdate,
   type Member,
 } from './member.js';
 import {PeerContacts, type PeerContact} from './peer-contacts.js';
 import {
-  LOAD_INTERVAL_MS,
+  LOAD_PUBLISH_INTERVAL_MS,
   MESH_LIMIT,
   MISSES_BEFORE_SUSPICION,
   PROBE_INTERVAL_MS,
-  RELAY_COUNT,
-  SUSPICION_MS,
+  INDIRECT_PROBE_RELAYS,
+  SUSPICION_TIMEOUT_MS,
 } from './timing.js';
 
 /** Rounds between two probes of a dead member. */
-const ROUNDS_BETWEEN_GREETINGS = 4;
+const ROUNDS_BETWEEN_DEAD_PROBES = 4;
 
-/** What the detector asks of its owner. */
+/** Callbacks of the failure detector into its owner. */
 export interface DetectorHooks {
-  /** The peer's log of changes holds something that is not staged here. */
-  onBehind(peer: Member, epoch: number): void;
-  /** The peer may have confirmed something. */
+  /** The peer's log has changes that are not staged here. */
+  onUnstagedChanges(peer: Member, epoch: number): void;
+  /** The peer's confirmed index may have advanced. */
   onConfirmed(): void;
-  /** A member that is not in the list sent a probe. */
-  onStranger(id: string, address: string): void;
-  /** The others took this daemon for dead; it has to join again. */
+  /** A probe arrived from a daemon that is not in the member list. */
+  onUnknownSender(id: string, address: string): void;
+  /** Other members declared this daemon dead; it has to rejoin. */
   onDeclaredDead(): void;
-  /** Peers answer again after a time in which this daemon did not run. */
+  /** A peer answered for the first time since the start or a pause. */
   onContactRestored(): void;
-  /** Flow counts to publish. */
+  /** Returns the flow counts to send to the peers. */
   loadToPublish(): LoadVector;
   onLoad(load: LoadVector): void;
 }
 
-/** What a detector is made from. */
 export interface DetectorOptions {
   readonly members: MemberList;
   readonly log: ChangeLog;
@@ -56,12 +57,12 @@
   readonly hooks: DetectorHooks;
 }
 
-/** Probes the peers of one daemon and judges their answers. */
+/** Detects failed peers of one daemon. */
 export class FailureDetector {
   private readonly contacts: PeerContacts;
-  private readonly news: MembershipUpdater;
+  private readonly updater: MembershipUpdater;
   private sequence = 0;
-  private turn = 0;
+  private round = 0;
   private load: LoadVector | undefined;
   private loadDeadline = 0;
   private timer: Timer | undefined;
@@ -69,29 +70,29 @@
   private constructor(private readonly options: DetectorOptions) {
     const {members, clock, hooks} = options;
     this.contacts = PeerContacts.create(members.self.id, clock);
-    this.news = MembershipUpdater.create(members, {
+    this.updater = MembershipUpdater.create(members, {
       announce: () => this.announce(),
       onDeclaredDead: () => hooks.onDeclaredDead(),
     });
     members.onChange(() =>
-      this.contacts.updateBounds(this.peersToProbe().length),
+      this.contacts.updateTimeouts(this.peersToProbe().length),
     );
   }
 
-  /** Creates a detector that does nothing until started. */
+  /** Creates a stopped failure detector. */
   static create(options: DetectorOptions): FailureDetector {
     return new FailureDetector(options);
   }
 
-  /** Starts to probe; the returned function stops it. */
+  /** Starts probing; the returned function stops it. */
   start(): () => void {
     this.tick();
     return () => this.timer?.cancel();
   }
 
   /**
-   * Whether the member's knowledge is surely included in this daemon's: it is
-   * in touch, and nothing of its log is still to be staged here.
+   * Whether every change that the member may place flows by is staged here: it
+   * is responsive, and none of its log is missing here.
    */
   isCurrent(id: string): boolean {
     if (!this.isResponsive(id) || id === this.options.members.self.id) {
@@ -99,37 +100,41 @@
     }
     const contact = this.contacts.of(id);
     const {logEpoch, logTop} = contact;
-    return !this.options.log.isBehind(id, logEpoch, logTop);
+    return !this.options.log.hasUnstagedChanges(id, logEpoch, logTop);
   }
 
   /**
-   * Whether the member answered of late; for the daemon itself, whether any
-   * peer did, or there is none.
+   * Whether the member answered a probe within the view lease. For this daemon
+   * itself: whether any peer did, or there are no peers.
    */
   isResponsive(id: string): boolean {
     return this.contacts.isResponsive(id);
   }
 
-  /** Whether this daemon and the member both had answers of late. */
+  /**
+   * Whether this daemon and the member each had a recent answer of the other.
+   */
   isMutual(id: string): boolean {
-    return this.isResponsive(id) && this.contacts.of(id).hearsThis;
+    return this.isResponsive(id) && this.contacts.of(id).findsSelfResponsive;
   }
 
-  /** Members whose confirmation is to be waited for. */
-  peersInContact(): string[] {
+  /**
+   * Ids of the members that have to confirm a change before it is activated.
+   */
+  peersToConfirm(): string[] {
     return this.options.members
       .others()
       .filter(member => member.state !== MemberState.LEFT)
-      .filter(({id}) => this.contacts.isHeard(id))
+      .filter(({id}) => this.contacts.hasRecentDatagram(id))
       .map(({id}) => id);
   }
 
-  /** Sends a probe to every peer at once, to tell of a change. */
+  /** Probes every peer immediately, to spread a change of state. */
   announce(): void {
     this.peersToProbe().forEach(peer => this.sendProbe(peer, false));
   }
 
-  /** Probes one member now, to tell it what is staged here. */
+  /** Probes one member immediately, to report what is staged here. */
   probeNow(id: string): void {
     const peer = this.options.members.get(id);
     if (peer !== undefined) {
@@ -137,16 +142,16 @@
     }
   }
 
-  /** Probes one address now; its member need not be in the list. */
-  greet(address: string): void {
+  /** Probes an address immediately; the member list need not contain it. */
+  probeAddress(address: string): void {
     this.options.peers.probe(address, this.message(undefined, 0, false));
   }
 
-  /** Handles a probe or an answer of a member. */
+  /** Handles a probe, or an answer to one. */
   onProbe(sender: string, probe: Probe, address: string): void {
-    this.news.merge(probe.updates);
+    this.updater.merge(probe.updates);
     if (probe.subject !== '') {
-      this.noteVouched(probe.subject);
+      this.recordIndirectAnswer(probe.subject);
     } else if (probe.relayTo !== '') {
       this.relay(probe, address);
     } else if (probe.answer && probe.relayFrom !== '') {
@@ -159,12 +164,12 @@
   private handle(sender: string, probe: Probe, address: string): void {
     const known = this.options.members.get(sender);
     if (known === undefined) {
-      this.options.hooks.onStranger(sender, address);
+      this.options.hooks.onUnknownSender(sender, address);
       return;
     }
-    this.noteSender(known, probe);
+    this.recordSender(known, probe);
     if (probe.answer) {
-      this.noteAnswer(sender, probe);
+      this.recordAnswer(sender, probe);
     } else {
       this.answer(known, probe, address);
     }
@@ -172,100 +177,106 @@
 
   private tick(): void {
     const {clock} = this.options;
-    this.contacts.noteTick();
+    this.contacts.recordTick();
     this.timer = clock.callAt(clock.now() + PROBE_INTERVAL_MS, () =>
       this.tick(),
     );
-    this.turn += 1;
+    this.round += 1;
     this.prepareLoad();
-    this.buryExpired();
-    this.greetDead();
-    this.targets().forEach(peer => this.probeInTurn(peer));
+    this.expireSuspicions();
+    this.probeDeadMember();
+    this.selectTargets().forEach(peer => this.probeInRound(peer));
     this.load = undefined;
     this.options.hooks.onConfirmed();
   }
 
-  /** Peers probed in this round: some in turn, and those that are silent. */
-  private targets(): Member[] {
+  /**
+   * Peers to probe in this round: some in rotation, and those with a probe
+   * pending.
+   */
+  private selectTargets(): Member[] {
     const peers = this.peersToProbe();
     if (peers.length < MESH_LIMIT) {
       return peers;
     }
-    const start = (this.turn * MESH_LIMIT) % peers.length;
-    const inTurn = [...peers, ...peers].slice(start, start + MESH_LIMIT);
-    const silent = peers
+    const start = (this.round * MESH_LIMIT) % peers.length;
+    const scheduled = [...peers, ...peers].slice(start, start + MESH_LIMIT);
+    const unanswered = peers
       .filter(({id}) => this.contacts.of(id).pendingSequence !== 0)
-      .filter(peer => !inTurn.includes(peer));
-    return [...inTurn, ...silent];
+      .filter(peer => !scheduled.includes(peer));
+    return [...scheduled, ...unanswered];
   }
 
   private peersToProbe(): Member[] {
     return this.options.members.others().filter(answersProbes);
   }
 
-  /** Probes one dead member now and then, so that a cut heals. */
-  private greetDead(): void {
+  /**
+   * Probes one dead member every few rounds, so that a partitioned fleet merges
+   * again.
+   */
+  private probeDeadMember(): void {
     const dead = this.options.members
       .others()
       .filter(member => member.state === MemberState.DEAD);
-    if (dead.length > 0 && this.turn % ROUNDS_BETWEEN_GREETINGS === 0) {
-      const position = (this.turn / ROUNDS_BETWEEN_GREETINGS) % dead.length;
-      this.greet(dead[position].address);
+    if (dead.length > 0 && this.round % ROUNDS_BETWEEN_DEAD_PROBES === 0) {
+      const position = (this.round / ROUNDS_BETWEEN_DEAD_PROBES) % dead.length;
+      this.probeAddress(dead[position].address);
     }
   }
 
   private prepareLoad(): void {
     const {clock, hooks} = this.options;
     if (clock.now() >= this.loadDeadline) {
-      this.loadDeadline = clock.now() + LOAD_INTERVAL_MS;
+      this.loadDeadline = clock.now() + LOAD_PUBLISH_INTERVAL_MS;
       this.load = hooks.loadToPublish();
     }
   }
 
-  private probeInTurn(peer: Member): void {
+  private probeInRound(peer: Member): void {
     const contact = this.contacts.of(peer.id);
     if (contact.pendingSequence !== 0) {
-      this.noteMiss(peer, contact);
+      this.recordMiss(peer, contact);
     }
     this.sendProbe(peer, true);
   }
 
-  private noteMiss(peer: Member, contact: PeerContact): void {
+  private recordMiss(peer: Member, contact: PeerContact): void {
     contact.misses += 1;
-    this.askRelays(peer);
-    const live =
+    this.requestIndirectProbes(peer);
+    const isLive =
       peer.state === MemberState.READY || peer.state === MemberState.JOINING;
     if (contact.misses < MISSES_BEFORE_SUSPICION) {
       return;
     }
-    if (live) {
+    if (isLive) {
       this.options.members.mergeMember({...peer, state: MemberState.SUSPECT});
     } else if (peer.state === MemberState.LEAVING) {
       this.options.members.mergeMember({...peer, state: MemberState.DEAD});
     }
   }
 
-  /** Declares suspected members dead whose time is over. */
-  private buryExpired(): void {
+  /** Declares members dead whose suspicion timeout has expired. */
+  private expireSuspicions(): void {
     const {clock, members} = this.options;
     members
       .others()
       .filter(member => member.state === MemberState.SUSPECT)
       .forEach(member => {
         const contact = this.contacts.of(member.id);
-        if (contact.suspicionDeadline === 0) {
-          contact.suspicionDeadline = clock.now() + SUSPICION_MS;
-        } else if (contact.suspicionDeadline <= clock.now()) {
+        if (contact.suspicionDeadlineMs === 0) {
+          contact.suspicionDeadlineMs = clock.now() + SUSPICION_TIMEOUT_MS;
+        } else if (contact.suspicionDeadlineMs <= clock.now()) {
           members.mergeMember({...member, state: MemberState.DEAD});
         }
       });
   }
 
-  private askRelays(peer: Member): void {
+  private requestIndirectProbes(peer: Member): void {
     const probe = this.message(undefined, this.sequence, false);
     this.peersToProbe()
       .filter(({id}) => id !== peer.id && this.isResponsive(id))
-      .slice(0, RELAY_COUNT)
+      .slice(0, INDIRECT_PROBE_RELAYS)
       .forEach(relay =>
         this.options.peers.probe(relay.address, {
           ...probe,
@@ -274,7 +285,7 @@
       );
   }
 
-  /** Probes another member for the sender. */
+  /** Probes another member on behalf of the sender. */
   private relay(probe: Probe, address: string): void {
     this.options.peers.probe(probe.relayTo, {
       ...probe,
@@ -285,7 +296,7 @@
     });
   }
 
-  /** Hands an answer to the member that asked for the relayed probe. */
+  /** Returns a relayed answer to the member that requested the probe. */
   private relayAnswer(sender: string, probe: Probe): void {
     this.options.peers.probe(probe.relayFrom, {
       ...this.message(undefined, probe.sequence, true),
@@ -294,17 +305,20 @@
     });
   }
 
-  /** A relay had an answer: the member lives, though it is not in touch. */
-  private noteVouched(id: string): void {
-    this.contacts.noteAlive(id);
+  /**
+   * Clears the misses of a member that answered a relay. It is alive, but does
+   * not become responsive: its log position is not known.
+   */
+  private recordIndirectAnswer(id: string): void {
+    this.contacts.clearMisses(id);
   }
 
-  private sendProbe(peer: Member, counted: boolean): void {
+  private sendProbe(peer: Member, isScheduled: boolean): void {
     this.sequence += 1;
-    this.contacts.noteSent(peer.id, this.sequence, counted);
+    this.contacts.recordProbe(peer.id, this.sequence, isScheduled);
     this.options.peers.probe(peer.address, {
       ...this.message(peer.id, this.sequence, false),
-      outOfTouch: counted && !this.isResponsive(peer.id),
+      outOfTouch: isScheduled && !this.isResponsive(peer.id),
     });
   }
 
@@ -314,19 +328,19 @@
       ...message,
       relayFrom: probe.relayFrom,
       load: undefined,
-      updates: [...message.updates, ...this.newsOfSender(peer, probe)],
+      updates: [...message.updates, ...this.updatesToRefute(peer, probe)],
     });
   }
 
-  /** Tells a member what is said of it, so that it can object. */
-  private newsOfSender(peer: Member, probe: Probe): Member[] {
-    const disputed =
+  /** Returns the disputed state of the sender, so that it can refute it. */
+  private updatesToRefute(peer: Member, probe: Probe): Member[] {
+    const isDisputed =
       peer.state === MemberState.SUSPECT || peer.state === MemberState.DEAD;
-    const isNews =
+    const mayBeUnknown =
       probe.incarnation <= peer.incarnation ||
       (peer.state === MemberState.DEAD &&
-        lifeOf(probe.incarnation) === lifeOf(peer.incarnation));
-    return disputed && isNews ? [peer] : [];
+        sessionOf(probe.incarnation) === sessionOf(peer.incarnation));
+    return isDisputed && mayBeUnknown ? [peer] : [];
   }
 
   private message(
@@ -335,7 +349,7 @@
     answer: boolean,
   ): Probe {
     const {log, members} = this.options;
-    const seen = log.seen(peer ?? '');
+    const staged = log.stagedPosition(peer ?? '');
     return {
       sequence,
       answer,
@@ -343,8 +357,8 @@
       updates: members.takeMemberUpdates(),
       logEpoch: log.epoch,
       logTop: log.top,
-      seenEpoch: seen.epoch,
-      seenTop: seen.top,
+      seenEpoch: staged.epoch,
+      seenTop: staged.top,
       knowledge: log.digest,
       load: this.load,
       relayTo: '',
@@ -360,10 +374,10 @@
     return {state, incarnation};
   }
 
-  private noteSender(known: Member, probe: Probe): void {
+  private recordSender(known: Member, probe: Probe): void {
     const {hooks, log, members} = this.options;
-    this.contacts.noteHeard(known.id, probe);
-    const {state, incarnation} = memberOf({
+    this.contacts.recordDatagram(known.id, probe);
+    const {state, incarnation} = memberFromUpdate({
       ...known,
       state: probe.state,
       incarnation: probe.incarnation,
@@ -372,24 +386,26 @@
     if (probe.load !== undefined) {
       hooks.onLoad(probe.load);
     }
-    log.markConfirmed(known.id, probe.seenEpoch, probe.seenTop);
+    log.recordConfirmation(known.id, probe.seenEpoch, probe.seenTop);
     if (probe.outOfTouch) {
-      // It trusts nothing of this daemon until an answer tells it of the log.
-      log.markConfirmed(known.id, log.epoch, log.top);
+      // The peer does not regard this daemon as current until it gets an
+      // answer, which carries the log position. So it need not confirm earlier
+      // changes.
+      log.recordConfirmation(known.id, log.epoch, log.top);
     }
     hooks.onConfirmed();
-    if (!log.isBehind(known.id, probe.logEpoch, probe.logTop)) {
+    if (!log.hasUnstagedChanges(known.id, probe.logEpoch, probe.logTop)) {
       return;
     }
     if (probe.knowledge === log.digest) {
-      log.markSeen(known.id, probe.logEpoch, probe.logTop);
+      log.recordStaged(known.id, probe.logEpoch, probe.logTop);
     } else {
-      hooks.onBehind(known, probe.logEpoch);
+      hooks.onUnstagedChanges(known, probe.logEpoch);
     }
   }
 
-  private noteAnswer(sender: string, probe: Probe): void {
-    if (this.contacts.noteAnswer(sender, probe.sequence)) {
+  private recordAnswer(sender: string, probe: Probe): void {
+    if (this.contacts.recordAnswer(sender, probe.sequence)) {
       this.options.hooks.onContactRestored();
     }
   }
--- a/src/membership/member-list.ts
+++ b/src/membership/member-list.ts
@@ -1,126 +1,140 @@
-/** One daemon's view of the members. */
+/**
+ * Membership view of one daemon, with the updates that it still has to gossip.
+ */
 import type {MemberUpdate} from '../generated/packet.js';
 import {
   MemberState,
-  memberOf,
+  memberFromUpdate,
   ownsPartitions,
-  replaces,
+  supersedes,
   type Member,
 } from './member.js';
-import {NEWS_REPEATS} from './timing.js';
+import {RETRANSMIT_MULTIPLIER} from './timing.js';
 
-/** Most pieces of news in one datagram. */
-const NEWS_IN_A_DATAGRAM = 6;
+const MAXIMUM_UPDATES_PER_DATAGRAM = 6;
 
-/** Called after each change of a member; `before` is undefined for a new one. */
+/**
+ * Called after each change of a member; `before` is undefined for a new one.
+ */
 export type MemberListener = (member: Member, before?: Member) => void;
 
-interface News {
+interface PendingUpdate {
   readonly member: Member;
-  /** Datagrams that are still to carry it. */
-  left: number;
+  /** Datagrams that are still to carry the update. */
+  remainingTransmissions: number;
 }
 
-/** The members, this daemon included. */
+/** Known members, including this daemon. */
 export class MemberList {
   private readonly members = new Map<string, Member>();
   private readonly listeners: MemberListener[] = [];
-  private news: News[] = [];
+  private pendingUpdates: PendingUpdate[] = [];
 
   private constructor(private own: Member) {
     this.members.set(own.id, own);
   }
 
-  /** Creates a view that holds this daemon alone. */
+  /** Creates a view that contains only this daemon. */
   static create(own: Member): MemberList {
     return new MemberList(own);
   }
 
-  /** This daemon. */
   get self(): Member {
     return this.own;
   }
 
-  /** All members ever heard of that are not forgotten. */
+  /** All known members, including dead ones and those that left. */
   all(): Member[] {
     return [...this.members.values()];
   }
 
-  /** All members but this daemon. */
+  /** All members except this daemon. */
   others(): Member[] {
     return this.all().filter(member => member.id !== this.own.id);
   }
 
-  /** Members that own partitions, in the order of their ids. */
+  /** Members that own partitions, sorted by id. */
   owners(): Member[] {
     return this.all()
       .filter(ownsPartitions)
       .sort((a, b) => (a.id < b.id ? -1 : 1));
   }
 
-  /** A member by id. */
+  /** Returns a member by id; undefined when it is unknown. */
   get(id: string): Member | undefined {
     return this.members.get(id);
   }
 
-  /** Adds a listener. */
   onChange(listener: MemberListener): void {
     this.listeners.push(listener);
   }
 
-  /** Adds a member that the instance list names, if it is unknown. */
+  /**
+   * Adds a member from the instance list if it is unknown, or if the known one
+   * is dead or has left and had another address.
+   */
   seed(id: string, address: string, failureDomain: string): void {
     const known = this.members.get(id);
-    const moved = known !== undefined && known.address !== address;
-    const over = known !== undefined && known.state >= MemberState.DEAD;
-    if (known === undefined || (moved && over)) {
+    const hasMoved = known !== undefined && known.address !== address;
+    const hasEnded = known !== undefined && known.state >= MemberState.DEAD;
+    if (known === undefined || (hasMoved && hasEnded)) {
       const incarnation = 0;
       const state = MemberState.JOINING;
       this.put({id, address, failureDomain, state, incarnation});
     }
   }
 
-  /** Moves this daemon to a state. */
-  moveSelf(state: MemberState): void {
+  /** Sets the state of this daemon within its current incarnation. */
+  setOwnState(state: MemberState): void {
     this.put({...this.own, state});
   }
 
-  /** Starts a new incarnation, which overrides all that was said before. */
-  renewSelf(state: MemberState, incarnation: number): void {
+  /**
+   * Starts an incarnation of this daemon, which overrides all earlier states.
+   */
+  startOwnIncarnation(state: MemberState, incarnation: number): void {
     this.put({...this.own, state, incarnation});
   }
 
-  /** Merges one piece of news; false when it is no news. */
-  merge(update: MemberUpdate): boolean {
-    return this.mergeMember(memberOf(update));
+  /**
+   * Merges a gossiped update; false when it does not supersede the known state.
+   */
+  mergeUpdate(update: MemberUpdate): boolean {
+    return this.mergeMember(memberFromUpdate(update));
   }
 
-  /** Merges a member; false when what is known is as new. */
+  /**
+   * Merges a member; false when it does not supersede the known state, or is
+   * this daemon.
+   */
   mergeMember(next: Member): boolean {
     const known = this.members.get(next.id);
     if (next.id === this.own.id) {
       return false;
     }
-    if (known !== undefined && !replaces(next, known)) {
+    if (known !== undefined && !supersedes(next, known)) {
       return false;
     }
     this.put(next);
     return true;
   }
 
-  /** Removes members that are gone, so that the list stays bounded. */
-  forget(id: string): void {
+  /** Removes a member that is gone, to bound the list. */
+  remove(id: string): void {
     this.members.delete(id);
   }
 
-  /** News to send with the next datagram. */
+  /** Takes the updates to piggyback on the next datagram. */
   takeMemberUpdates(): MemberUpdate[] {
-    const taken = this.news.slice(0, NEWS_IN_A_DATAGRAM);
+    const taken = this.pendingUpdates.slice(0, MAXIMUM_UPDATES_PER_DATAGRAM);
     taken.forEach(item => {
-      item.left -= 1;
+      item.remainingTransmissions -= 1;
     });
-    const rest = this.news.slice(NEWS_IN_A_DATAGRAM);
-    this.news = [...rest, ...taken.filter(item => item.left > 0)];
+    const rest = this.pendingUpdates.slice(MAXIMUM_UPDATES_PER_DATAGRAM);
+    this.pendingUpdates = [
+      ...rest,
+      ...taken.filter(item => item.remainingTransmissions > 0),
+    ];
     return taken.map(({member}) => ({...member}));
   }
 
@@ -130,11 +144,12 @@
     if (member.id === this.own.id) {
       this.own = member;
     }
-    this.news = [
-      ...this.news.filter(item => item.member.id !== member.id),
+    this.pendingUpdates = [
+      ...this.pendingUpdates.filter(item => item.member.id !== member.id),
       {
         member,
-        left: NEWS_REPEATS * Math.ceil(Math.log2(this.members.size + 1)),
+        remainingTransmissions:
+          RETRANSMIT_MULTIPLIER * Math.ceil(Math.log2(this.members.size + 1)),
       },
     ];
     this.listeners.forEach(listener => listener(member, before));
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -1,10 +1,10 @@
-/** Members of the fleet of daemons and how news of them is merged. */
+/** Members of the fleet and the precedence of their states. */
 import type {MemberUpdate} from '../generated/packet.js';
 
 /**
- * States of a member. Within one incarnation a higher state replaces a lower
- * one. A member that lives on is of a higher incarnation; one that was taken
- * for dead, rightly or not, comes back in a new life, by joining again.
+ * States of a member. Within one incarnation the higher state wins, and a live
+ * member refutes a suspicion with a higher incarnation. A member that was
+ * declared dead, rightly or not, returns by rejoining in a new session.
  */
 export const MemberState = {
   JOINING: 0,
@@ -14,10 +14,9 @@
   DEAD: 4,
   LEFT: 5,
 } as const;
-/** One of the states in `MemberState`. */
 export type MemberState = (typeof MemberState)[keyof typeof MemberState];
 
-/** Names of the states for people. */
+/** Names of the states, by number. */
 export const MEMBER_STATE_NAMES: readonly string[] = [
   'joining',
   'ready',
@@ -30,38 +29,44 @@
 /** One daemon as another one sees it. */
 export interface Member {
   readonly id: string;
-  /** "ip:port" of both datagrams and calls. */
+  /** "ip:port" for both datagrams and calls. */
   readonly address: string;
   readonly failureDomain: string;
   readonly state: MemberState;
-  /** Chosen by the member itself; grows. */
+  /**
+   * Increased by the member itself. Its digits identify the run of the daemon,
+   * the session within the run and the refutation within the session.
+   */
   readonly incarnation: number;
 }
 
-/** Incarnations of one run of a daemon; a new run starts at a later number. */
-const INCARNATIONS_A_RUN = 4_096;
+/** Incarnations reserved for one run; a later run starts at a higher number. */
+const INCARNATIONS_PER_RUN = 4_096;
 
-/** Incarnations of one life. */
-const INCARNATIONS_A_LIFE = 64;
+/** Incarnations reserved for one session: from a join to death or departure. */
+const INCARNATIONS_PER_SESSION = 64;
 
-/** The first incarnation of a run that starts at `wallMs`. */
+/** Returns the first incarnation of a run that starts at `wallMs`. */
 export function firstIncarnation(wallMs: number): number {
-  return wallMs * INCARNATIONS_A_RUN;
+  return wallMs * INCARNATIONS_PER_RUN;
 }
 
-/** The life that an incarnation belongs to. */
-export function lifeOf(incarnation: number): number {
-  return Math.floor(incarnation / INCARNATIONS_A_LIFE);
+/** Returns the session that an incarnation belongs to. */
+export function sessionOf(incarnation: number): number {
+  return Math.floor(incarnation / INCARNATIONS_PER_SESSION);
 }
 
-/** The first incarnation of the life after the one of an incarnation. */
-export function nextLife(incarnation: number): number {
-  return (lifeOf(incarnation) + 1) * INCARNATIONS_A_LIFE;
+/** Returns the first incarnation of the session after the given one's. */
+export function firstIncarnationOfNextSession(incarnation: number): number {
+  return (sessionOf(incarnation) + 1) * INCARNATIONS_PER_SESSION;
 }
 
-/** Names one run of a daemon: a restarted one remembers nothing. */
+/**
+ * Identifies one run of a daemon; a restarted daemon has none of the state of
+ * its previous run.
+ */
 export function runOf(member: Member): string {
-  const run = Math.floor(member.incarnation / INCARNATIONS_A_RUN);
+  const run = Math.floor(member.incarnation / INCARNATIONS_PER_RUN);
   return `${member.id}/${run}`;
 }
 
@@ -72,24 +77,27 @@
   );
 }
 
-/** Whether a member handles packets. */
+/** Whether a member handles packets; includes leaving members. */
 export function handlesPackets(member: Member): boolean {
   return ownsPartitions(member) || member.state === MemberState.LEAVING;
 }
 
-/** Whether a member is expected to answer probes. */
+/**
+ * Whether a member is expected to answer probes: not dead, and has not left.
+ */
 export function answersProbes(member: Member): boolean {
   return member.state < MemberState.DEAD;
 }
 
-/** Whether news `next` replaces what is known. */
-export function replaces(next: Member, known: Member): boolean {
-  const lives = lifeOf(next.incarnation) - lifeOf(known.incarnation);
-  if (lives !== 0) {
-    return lives > 0;
+/** Whether `next` takes precedence over the known state of the same member. */
+export function supersedes(next: Member, known: Member): boolean {
+  const sessionDifference =
+    sessionOf(next.incarnation) - sessionOf(known.incarnation);
+  if (sessionDifference !== 0) {
+    return sessionDifference > 0;
   }
   if (known.state >= MemberState.DEAD || next.state >= MemberState.DEAD) {
-    // The end of a life stands, whatever its last incarnation was.
+    // Within a session, dead and left are final whatever the incarnation.
     return next.state > known.state;
   }
   return (
@@ -98,8 +106,8 @@
   );
 }
 
-/** Reads a member from a message; unknown states are taken as dead. */
-export function memberOf(update: MemberUpdate): Member {
+/** Converts an update; an unknown state is treated as dead. */
+export function memberFromUpdate(update: MemberUpdate): Member {
   const known = Object.values(MemberState).find(
     state => state === update.state,
   );
--- a/src/membership/membership-updater.ts
+++ b/src/membership/membership-updater.ts
@@ -1,33 +1,34 @@
 /**
- * What others tell of members. This daemon takes it for all members but itself:
- * it overrides what is wrong of it, and joins again where that is too late.
+ * Merges gossiped membership updates, and refutes wrong ones about this daemon:
+ * a suspicion with a higher incarnation, a declared death with a new session
+ * and a rejoin.
  */
 import type {MemberUpdate} from '../generated/packet.js';
 import type {MemberList} from './member-list.js';
 import {
   MemberState,
-  lifeOf,
-  memberOf,
-  nextLife,
+  sessionOf,
+  memberFromUpdate,
+  firstIncarnationOfNextSession,
   type Member,
 } from './member.js';
 
-/** What is done when others are wrong of this daemon. */
+/** Callbacks for updates that concern this daemon itself. */
 export interface MembershipUpdaterHooks {
-  /** Tells every peer at once what this daemon says of itself. */
+  /** Sends this daemon's own state to every peer immediately. */
   announce(): void;
-  /** The others took this daemon for dead; it has to join again. */
+  /** Other members declared this daemon dead; it has to rejoin. */
   onDeclaredDead(): void;
 }
 
-/** Takes news of members into one daemon's list. */
+/** Applies membership updates to one daemon's member list. */
 export class MembershipUpdater {
   private constructor(
     private readonly members: MemberList,
     private readonly hooks: MembershipUpdaterHooks,
   ) {}
 
-  /** Creates the way of news into `members`. */
+  /** Creates an updater of `members`. */
   static create(
     members: MemberList,
     hooks: MembershipUpdaterHooks,
@@ -35,45 +36,52 @@
     return new MembershipUpdater(members, hooks);
   }
 
-  /** Takes news; what is said of this daemon comes last. */
+  /** Merges updates; those about this daemon are handled last. */
   merge(updates: readonly MemberUpdate[]): void {
     const {members} = this;
     const self = members.self;
     updates
       .filter(update => update.id !== self.id)
-      .forEach(update => members.merge(update));
+      .forEach(update => members.mergeUpdate(update));
     updates
       .filter(update => update.id === self.id)
-      .forEach(update => this.refute(memberOf(update)));
+      .forEach(update => this.refute(memberFromUpdate(update)));
   }
 
-  /** Overrides what others say of this daemon. */
-  private refute(said: Member): void {
+  /** Refutes an update that claims this daemon to be suspect or dead. */
+  private refute(claimed: Member): void {
     const self = this.members.self;
-    const sameLife = lifeOf(said.incarnation) === lifeOf(self.incarnation);
-    const isOver = self.state === MemberState.LEFT;
-    if (isOver || !sameLife) {
+    const isSameSession =
+      sessionOf(claimed.incarnation) === sessionOf(self.incarnation);
+    const hasLeft = self.state === MemberState.LEFT;
+    if (hasLeft || !isSameSession) {
       return;
     }
-    if (said.state === MemberState.DEAD) {
-      this.startNewLife();
+    if (claimed.state === MemberState.DEAD) {
+      this.startNewSession();
     } else if (
-      said.state === MemberState.SUSPECT &&
-      said.incarnation >= self.incarnation
+      claimed.state === MemberState.SUSPECT &&
+      claimed.incarnation >= self.incarnation
     ) {
-      this.members.renewSelf(self.state, said.incarnation + 1);
+      this.members.startOwnIncarnation(self.state, claimed.incarnation + 1);
       this.hooks.announce();
     }
   }
 
-  /** Others own this daemon's part by now, so it has to join again. */
-  private startNewLife(): void {
+  /**
+   * Other members own this daemon's partitions by now, so it rejoins, unless it
+   * is leaving.
+   */
+  private startNewSession(): void {
     const self = this.members.self;
-    const leaves = self.state === MemberState.LEAVING;
-    const state = leaves ? MemberState.LEAVING : MemberState.JOINING;
-    this.members.renewSelf(state, nextLife(self.incarnation));
+    const isLeaving = self.state === MemberState.LEAVING;
+    const state = isLeaving ? MemberState.LEAVING : MemberState.JOINING;
+    this.members.startOwnIncarnation(
+      state,
+      firstIncarnationOfNextSession(self.incarnation),
+    );
     this.hooks.announce();
-    if (!leaves) {
+    if (!isLeaving) {
       this.hooks.onDeclaredDead();
     }
   }
--- a/src/membership/peer-contacts.ts
+++ b/src/membership/peer-contacts.ts
@@ -1,44 +1,44 @@
 /**
- * When each peer was last heard and answered, and what follows from it: who is
- * in touch with this daemon. All times are monotonic milliseconds of its clock.
+ * Tracks when each peer last answered a probe and last sent a datagram, and
+ * derives which peers are responsive. Times are monotonic milliseconds.
  */
 import type {Probe} from '../generated/packet.js';
 import type {Clock} from '../ports/clock.js';
 import {
   CONFIRMATION_TIMEOUT_MS,
   MESH_LIMIT,
-  PAUSE_MS,
+  PAUSE_DETECTION_MS,
   PROBE_INTERVAL_MS,
   VIEW_LEASE_MS,
 } from './timing.js';
 
-/** What is known of the exchange with one peer; times are monotonic. */
+/** Exchange of probes with one peer. */
 export interface PeerContact {
-  /** Sequence and time of the probe that is not answered yet; 0: none. */
+  /** Sequence and sending time of the unanswered probe; sequence 0: none. */
   pendingSequence: number;
   pendingSentMs: number;
   /** Sending time of the newest probe that the peer answered. */
   answeredSentMs: number;
-  /** Arrival of the newest datagram of the peer. */
-  heardMs: number;
-  /** The peer's log as its newest datagram told. */
+  /** Arrival of the peer's newest datagram. */
+  lastDatagramMs: number;
+  /** Epoch and newest index of the peer's log in its newest datagram. */
   logEpoch: number;
   logTop: number;
-  /** Whether the peer said that this daemon answers it. */
-  hearsThis: boolean;
+  /** Whether the peer reported this daemon as responsive. */
+  findsSelfResponsive: boolean;
   misses: number;
-  /** When a suspected peer is declared dead. */
-  suspicionDeadline: number;
+  /** When a suspected peer is declared dead; 0 while it is not suspected. */
+  suspicionDeadlineMs: number;
 }
 
-/** The exchanges of one daemon with its peers. */
+/** Contacts of one daemon with its peers. */
 export class PeerContacts {
   private readonly contacts = new Map<string, PeerContact>();
-  private heardFromAnyMs = -Infinity;
+  private newestAnsweredSentMs = -Infinity;
   private lastTickMs: number;
-  private alone = true;
-  private trustMs = VIEW_LEASE_MS;
-  private contactMs = CONFIRMATION_TIMEOUT_MS;
+  private hasNoPeers = true;
+  private viewLeaseMs = VIEW_LEASE_MS;
+  private silenceLimitMs = CONFIRMATION_TIMEOUT_MS;
 
   private constructor(
     private readonly self: string,
@@ -47,12 +47,12 @@
     this.lastTickMs = clock.now();
   }
 
-  /** Creates the contacts of the daemon `self`, which has met nobody. */
+  /** Creates the contacts of the daemon `self`, without any peer. */
   static create(self: string, clock: Clock): PeerContacts {
     return new PeerContacts(self, clock);
   }
 
-  /** The contact with a peer, made with the first question for it. */
+  /** Returns the contact with a peer, created on first use. */
   of(id: string): PeerContact {
     const known = this.contacts.get(id);
     if (known !== undefined) {
@@ -62,106 +62,127 @@
       pendingSequence: 0,
       pendingSentMs: 0,
       answeredSentMs: -Infinity,
-      heardMs: this.clock.now(),
+      lastDatagramMs: this.clock.now(),
       logEpoch: 0,
       logTop: 0,
-      hearsThis: false,
+      findsSelfResponsive: false,
       misses: 0,
-      suspicionDeadline: 0,
+      suspicionDeadlineMs: 0,
     };
     this.contacts.set(id, created);
     return created;
   }
 
   /**
-   * Whether the member answered of late; for the daemon itself, whether any
-   * peer did, or there is none.
+   * Whether the member answered a probe within the view lease. For this daemon
+   * itself: whether any peer did, or there are no peers. False after a pause of
+   * this process.
    */
   isResponsive(id: string): boolean {
-    const limit = this.clock.now() - this.trustMs;
+    const limit = this.clock.now() - this.viewLeaseMs;
     if (this.hasPaused()) {
       return false;
     }
     if (id === this.self) {
-      return this.heardFromAnyMs >= limit || this.alone;
+      return this.newestAnsweredSentMs >= limit || this.hasNoPeers;
     }
     return (this.contacts.get(id)?.answeredSentMs ?? -Infinity) >= limit;
   }
 
-  /** Whether a datagram of the peer came of late. */
-  isHeard(id: string): boolean {
-    return this.of(id).heardMs >= this.clock.now() - this.contactMs;
+  /** Whether a datagram of the peer arrived within the confirmation timeout. */
+  hasRecentDatagram(id: string): boolean {
+    return this.of(id).lastDatagramMs >= this.clock.now() - this.silenceLimitMs;
   }
 
-  /** Bounds grow with the rounds that it takes to probe all peers once. */
-  updateBounds(peers: number): void {
+  /**
+   * Adapts the timeouts to the number of rounds that probing all peers takes.
+   */
+  updateTimeouts(peers: number): void {
     const moreRounds = Math.max(1, Math.ceil(peers / MESH_LIMIT)) - 1;
-    this.alone = peers === 0;
-    this.trustMs = VIEW_LEASE_MS + moreRounds * PROBE_INTERVAL_MS * 2;
-    this.contactMs =
+    this.hasNoPeers = peers === 0;
+    this.viewLeaseMs = VIEW_LEASE_MS + moreRounds * PROBE_INTERVAL_MS * 2;
+    this.silenceLimitMs =
       CONFIRMATION_TIMEOUT_MS + moreRounds * PROBE_INTERVAL_MS * 4;
   }
 
-  /** Notes a run of the probe task. */
-  noteTick(): void {
+  /**
+   * Records a run of the probe task; after a pause all answers are discarded.
+   */
+  recordTick(): void {
     if (this.hasPaused()) {
-      this.forgetAnswers();
+      this.discardAnswers();
     }
     this.lastTickMs = this.clock.now();
   }
 
-  /** Notes a probe; one that is not counted leaves an older one pending. */
-  noteSent(id: string, sequence: number, counted: boolean): void {
+  /**
+   * Records a sent probe. An unscheduled one does not replace a probe that is
+   * still pending.
+   */
+  recordProbe(id: string, sequence: number, isScheduled: boolean): void {
     const contact = this.of(id);
-    if (counted || contact.pendingSequence === 0) {
+    if (isScheduled || contact.pendingSequence === 0) {
       contact.pendingSequence = sequence;
       contact.pendingSentMs = this.clock.now();
     }
   }
 
-  /** Notes what a datagram of the peer says of itself. */
-  noteHeard(id: string, probe: Probe): void {
+  /** Records the log position and view that a peer's datagram reports. */
+  recordDatagram(id: string, probe: Probe): void {
     const contact = this.of(id);
-    contact.heardMs = this.clock.now();
+    contact.lastDatagramMs = this.clock.now();
     contact.logEpoch = probe.logEpoch;
     contact.logTop = probe.logTop;
-    contact.hearsThis = probe.inTouch;
+    contact.findsSelfResponsive = probe.inTouch;
   }
 
-  /** Notes that the peer lives, as its answer to somebody shows. */
-  noteAlive(id: string): void {
+  /**
+   * Clears misses and suspicion deadline of a peer that answered this daemon or
+   * a relay.
+   */
+  clearMisses(id: string): void {
     const contact = this.of(id);
     contact.misses = 0;
-    contact.suspicionDeadline = 0;
+    contact.suspicionDeadlineMs = 0;
   }
 
   /**
-   * Notes the peer's answer to a probe; true if no peer had answered since the
-   * start or the last pause.
+   * Records the peer's answer to a probe. Returns true for the first answer of
+   * any peer since the start or the last pause.
    */
-  noteAnswer(id: string, sequence: number): boolean {
-    this.noteAlive(id);
+  recordAnswer(id: string, sequence: number): boolean {
+    this.clearMisses(id);
     const contact = this.of(id);
     const {pendingSequence, pendingSentMs} = contact;
-    // A later probe may be answered too; the first pending one is the older.
+    // The answer may be to a later probe than the pending one; the earlier
+    // sending time is the safe one.
     if (pendingSequence === 0 || sequence < pendingSequence) {
       return false;
     }
     contact.pendingSequence = 0;
     contact.answeredSentMs = pendingSentMs;
-    const isFirst = this.heardFromAnyMs === -Infinity;
-    this.heardFromAnyMs = Math.max(this.heardFromAnyMs, pendingSentMs);
+    const isFirst = this.newestAnsweredSentMs === -Infinity;
+    this.newestAnsweredSentMs = Math.max(
+      this.newestAnsweredSentMs,
+      pendingSentMs,
+    );
     return isFirst;
   }
 
-  /** Whether this process did not run for so long that others gave it up. */
+  /**
+   * Whether the probe task has not run for so long that peers may have stopped
+   * relying on this daemon.
+   */
   private hasPaused(): boolean {
-    return this.clock.now() - this.lastTickMs > PAUSE_MS;
+    return this.clock.now() - this.lastTickMs > PAUSE_DETECTION_MS;
   }
 
-  /** Answers to probes from before a pause say nothing of the time after. */
-  private forgetAnswers(): void {
-    this.heardFromAnyMs = -Infinity;
+  /**
+   * Discards answers from before a pause; they prove nothing about the time
+   * after it.
+   */
+  private discardAnswers(): void {
+    this.newestAnsweredSentMs = -Infinity;
     this.contacts.forEach(contact => {
       contact.answeredSentMs = -Infinity;
       contact.pendingSequence = 0;
--- a/src/membership/peer-view.ts
+++ b/src/membership/peer-view.ts
@@ -1,233 +1,256 @@
 /**
- * The peers of one daemon, by how long ago each was known to live. Daemons tell
- * each other these ages; the youngest that anyone told counts, so ages need no
- * clock that daemons share.
+ * Bounded view of the fleet: which peers are live, silent, leaving or lost.
+ * Daemons gossip the time since each peer was last known to be alive, and the
+ * smallest age wins, so no synchronized clocks are needed.
  *
- * The view is bounded: of a large fleet it holds the peers that were heard of last,
- * some of the own failure domain and some of others. A peer that falls out of it is
- * not lost, and one that is in it is lost only after greetings without an answer.
- * So the same state serves 8 daemons, who all know each other, and thousands.
+ * In a large fleet the view keeps the most recently heard peers of the own
+ * failure domain and of the others. A peer is declared lost only after
+ * unanswered pings, never because it was evicted from the view.
  */
 import type {PeerAge} from '../generated/catalog.js';
 import type {Random} from '../routing/random.js';
 import {PendingPings} from './pending-pings.js';
-import {LIVE_AGE_MS, isLive, type PeerDaemon} from './peer-daemon.js';
+import {LIVENESS_TIMEOUT_MS, isLive, type PeerDaemon} from './peer-daemon.js';
 
-/** Silence after which a peer is forgotten, in milliseconds. */
-const FORGET_AGE_MS = 60_000;
+/** Silence after which a peer is removed. */
+const RETENTION_MS = 60_000;
 
 /**
- * Peers kept of the own failure domain and of all others together. Views of the
- * newest 20 entries keep a gossip in one piece (Newscast); twice as many bear the
- * loss of half of the fleet at once.
+ * Maximum peers kept of the own failure domain, and of all others together.
+ * Newscast gossip stays connected with views of 20 entries; twice as many
+ * tolerate losing half of the fleet at once.
  */
-const OWN_DOMAIN_PEERS = 24;
-const OTHER_PEERS = 24;
+const MAXIMUM_OWN_DOMAIN_PEERS = 24;
+const MAXIMUM_OTHER_DOMAIN_PEERS = 24;
 
-/** Peers of the own failure domain that leave; kept at the most. */
-const LEAVING_PEERS = 24;
+/** Maximum leaving peers kept of the own failure domain. */
+const MAXIMUM_LEAVING_PEERS = 24;
 
 /**
- * Time after the last sign of life for which a peer that left counts as one that
- * comes back, in milliseconds: its planned stop and its start.
+ * Time since the last sign of life in which a peer that stopped is expected to
+ * restart. Covers a planned stop and a start.
  */
-const RETURN_MS = 8_000;
+const RESTART_WINDOW_MS = 8_000;
 
-/** Lost peers that are kept, to be greeted until a cut heals. */
-const LOST_PEERS = 32;
+/** Maximum lost peers kept, to be pinged until a network partition heals. */
+const MAXIMUM_LOST_PEERS = 32;
 
-/** Peers that one beat tells of; bounds its size at 8 * 25 bytes. */
-const TOLD_IN_A_BEAT = 8;
-/** Peers that leave among those that one beat tells of, at the most. */
-const TOLD_LEAVING = 4;
+/** Maximum peers in one heartbeat, at up to 25 bytes each. */
+const PEERS_PER_HEARTBEAT = 8;
+/** Maximum leaving peers among those in one heartbeat. */
+const LEAVING_PEERS_PER_HEARTBEAT = 4;
 
-/** What a view is made from. */
 export interface PeerViewOptions {
-  /** Address of this daemon. */
+  /** IPv4 address of this daemon as an unsigned number. */
   readonly self: number;
-  /** Failure domain of this daemon. */
   readonly failureDomain: string;
   readonly random: Random;
 }
 
-/** What one daemon knows of the others. */
+/** What one daemon knows of its peers. */
 export class PeerView {
   private readonly peers = new Map<number, PeerDaemon>();
-  /** Peers of the own failure domain that leave or have left, until they are back. */
-  private readonly leavers = new Map<number, PeerDaemon>();
-  private readonly lost = new Map<number, PeerDaemon>();
-  private readonly greetings = PendingPings.create();
-  /** Whether a peer ever gave way to another one. */
-  private isPartial = false;
+  /**
+   * Peers of the own failure domain that are leaving or have left, until they
+   * return.
+   */
+  private readonly leavingPeers = new Map<number, PeerDaemon>();
+  private readonly lostPeers = new Map<number, PeerDaemon>();
+  private readonly pendingPings = PendingPings.create();
+  /** Whether the view has ever evicted a peer for lack of room. */
+  private hasEvicted = false;
 
   private constructor(private readonly options: PeerViewOptions) {}
 
-  /** Creates a view without peers. */
+  /** Creates an empty view. */
   static create(options: PeerViewOptions): PeerView {
     return new PeerView(options);
   }
 
   /**
-   * Takes what was told of a daemon; true when it is back after it was lost, or new
-   * to a view that has room for all.
+   * Merges a gossiped age. Returns true for a live peer that was lost before,
+   * or that is new while nothing has been evicted from the view.
    */
-  merge(told: PeerAge, now: number): boolean {
-    const {address, failureDomain, leaving, hasCopy} = told;
-    const aliveAt = now - told.ageMs;
-    const known = this.peers.get(address) ?? this.lost.get(address);
+  merge(reported: PeerAge, now: number): boolean {
+    const {address, failureDomain, leaving, hasCopy} = reported;
+    const aliveAt = now - reported.ageMs;
+    const known = this.peers.get(address) ?? this.lostPeers.get(address);
     const isOutdated = known !== undefined && known.aliveAt >= aliveAt;
     const isSelf = address === this.options.self;
-    if (isSelf || isOutdated || told.ageMs > FORGET_AGE_MS) {
+    if (isSelf || isOutdated || reported.ageMs > RETENTION_MS) {
       return false;
     }
     const peer = {address, failureDomain, leaving, hasCopy, aliveAt};
-    const isBack = this.lost.delete(address);
-    const isNew = !this.isPartial && !this.peers.has(address);
+    const hasReturned = this.lostPeers.delete(address);
+    const isNew = !this.hasEvicted && !this.peers.has(address);
     this.put(peer);
-    return isLive(peer, now) && (isBack || isNew);
+    return isLive(peer, now) && (hasReturned || isNew);
   }
 
-  /** Peers that lived of late: all of a small fleet, some of a large one. */
+  /** Peers heard of within the liveness timeout; a subset in a large fleet. */
   live(now: number): PeerDaemon[] {
     return [...this.peers.values()].filter(peer => isLive(peer, now));
   }
 
-  /** Peers that are silent, and may be back some day. */
+  /** Peers that are silent or lost. */
   silent(now: number): PeerDaemon[] {
-    return [...this.quiet(now), ...this.lost.values()];
+    return [...this.silentInView(now), ...this.lostPeers.values()];
   }
 
-  /** Peers of the own failure domain that leave, or have left and may come back. */
+  /**
+   * Peers of the own failure domain that are leaving, or left within the
+   * restart window.
+   */
   leaving(now: number): PeerDaemon[] {
-    return [...this.leavers.values()].filter(
-      ({aliveAt}) => now - aliveAt <= RETURN_MS,
+    return [...this.leavingPeers.values()].filter(
+      ({aliveAt}) => now - aliveAt <= RESTART_WINDOW_MS,
     );
   }
 
-  /** Peers of the own failure domain that fell silent of late, and may come back. */
+  /**
+   * Peers of the own failure domain that fell silent within the restart window.
+   */
   missing(now: number): PeerDaemon[] {
     return this.silent(now).filter(
       ({failureDomain, aliveAt}) =>
         failureDomain === this.options.failureDomain &&
-        now - aliveAt <= RETURN_MS,
+        now - aliveAt <= RESTART_WINDOW_MS,
     );
   }
 
   /**
-   * Daemons that run, this one included; undefined where the view holds but a part of
-   * them.
+   * Number of running daemons, including this one; undefined when the view
+   * holds only part of the fleet.
    */
   countDaemons(now: number): number | undefined {
-    return this.isPartial ? undefined : this.live(now).length + 1;
+    return this.hasEvicted ? undefined : this.live(now).length + 1;
   }
 
-  /** Notes that a peer is greeted now; it answers at once if it can. */
+  /** Records that a peer is pinged now; a live peer answers immediately. */
   recordPing(peer: PeerDaemon, now: number): void {
-    this.greetings.note(peer, now);
+    this.pendingPings.record(peer, now);
   }
 
-  /** Peers to greet in this round: those that owe an answer, and silent ones. */
+  /**
+   * Peers to ping in this round: those with unanswered pings, and silent ones.
+   */
   selectPeersToPing(now: number): PeerDaemon[] {
-    const quiet = this.quiet(now).filter(
-      ({address}) => !this.greetings.isOwing(address),
+    const unpinged = this.silentInView(now).filter(
+      ({address}) => !this.pendingPings.isPending(address),
     );
-    return [...this.greetings.owing(), ...quiet];
+    return [...this.pendingPings.listPending(), ...unpinged];
   }
 
-  /** Peers that were lost since the last call. */
+  /**
+   * Moves peers that left their pings unanswered to the lost peers and returns
+   * them. Each loss is returned once.
+   */
   takeLost(now: number): PeerDaemon[] {
-    const lost = this.greetings.takeLost(now - LIVE_AGE_MS);
+    const lost = this.pendingPings.takeLost(now - LIVENESS_TIMEOUT_MS);
     lost.forEach(peer => {
       this.peers.delete(peer.address);
-      this.lost.set(peer.address, peer);
+      this.lostPeers.set(peer.address, peer);
     });
-    keepNewest(this.lost, LOST_PEERS);
+    keepNewest(this.lostPeers, MAXIMUM_LOST_PEERS);
     return lost;
   }
 
-  /** Ages to tell in the next beat: all of a small fleet, some of a large one. */
+  /**
+   * Ages to gossip in the next heartbeat: all live peers of a small fleet, a
+   * random sample of a large one.
+   */
   selectPeersToGossip(now: number): PeerAge[] {
-    this.forget(now);
-    const leaving = this.sample(this.leaving(now), TOLD_LEAVING);
+    this.removeExpired(now);
+    const leaving = this.sample(this.leaving(now), LEAVING_PEERS_PER_HEARTBEAT);
     const live = this.live(now).filter(
-      ({address}) => !this.leavers.has(address),
+      ({address}) => !this.leavingPeers.has(address),
     );
-    const others = this.sample(live, TOLD_IN_A_BEAT - leaving.length);
-    return [...leaving, ...others].map(peer => toldOf(peer, now));
+    const others = this.sample(live, PEERS_PER_HEARTBEAT - leaving.length);
+    return [...leaving, ...others].map(peer => toPeerAge(peer, now));
   }
 
-  /** Ages to tell a daemon that has no copy: who has one, and whom to know. */
+  /**
+   * Ages to send to a daemon without a catalog snapshot: peers that hold one
+   * first, then others.
+   */
   selectPeersForBootstrap(now: number): PeerAge[] {
     const live = this.live(now).filter(({leaving}) => !leaving);
-    const having = live.filter(({hasCopy}) => hasCopy);
-    const others = live.filter(({hasCopy}) => !hasCopy);
-    const told = this.sample(having, TOLD_IN_A_BEAT);
-    return [...told, ...this.sample(others, TOLD_IN_A_BEAT - told.length)].map(
-      peer => toldOf(peer, now),
-    );
+    const withSnapshot = live.filter(({hasCopy}) => hasCopy);
+    const withoutSnapshot = live.filter(({hasCopy}) => !hasCopy);
+    const selected = this.sample(withSnapshot, PEERS_PER_HEARTBEAT);
+    return [
+      ...selected,
+      ...this.sample(withoutSnapshot, PEERS_PER_HEARTBEAT - selected.length),
+    ].map(peer => toPeerAge(peer, now));
   }
 
-  /** Up to `count` of the peers, by chance. */
+  /** Returns a random sample of up to `count` peers. */
   sample(peers: readonly PeerDaemon[], count: number): PeerDaemon[] {
     if (peers.length <= count) {
       return [...peers];
     }
-    const left = [...peers];
+    const remaining = [...peers];
     return Array.from({length: count}, () => {
-      const place = this.options.random.below(left.length);
-      const [taken] = left.splice(place, 1);
+      const position = this.options.random.below(remaining.length);
+      const [taken] = remaining.splice(position, 1);
       return taken;
     });
   }
 
-  /** Peers that are in the view, and silent. */
-  private quiet(now: number): PeerDaemon[] {
+  /** Silent peers in the view, without the lost ones. */
+  private silentInView(now: number): PeerDaemon[] {
     return [...this.peers.values()].filter(peer => !isLive(peer, now));
   }
 
-  /** Takes news of a peer; where there is no room, the oldest news gives way. */
+  /**
+   * Stores a peer; evicts the least recently heard candidate when there is no
+   * room.
+   */
   private put(peer: PeerDaemon): void {
     this.peers.set(peer.address, peer);
-    this.greetings.hear(peer);
-    this.noteLeaving(peer);
-    const crowd = this.crowdAround(peer);
-    if (crowd.length > 0) {
-      const oldest = crowd.reduce((a, b) => (b.aliveAt < a.aliveAt ? b : a));
+    this.pendingPings.updatePeer(peer);
+    this.trackLeaving(peer);
+    const pool = this.selectEvictable(peer);
+    if (pool.length > 0) {
+      const oldest = pool.reduce((a, b) => (b.aliveAt < a.aliveAt ? b : a));
       this.peers.delete(oldest.address);
-      this.isPartial = true;
+      this.hasEvicted = true;
     }
   }
 
   /**
-   * Peers of which one has to give way for a new one; empty while there is room. Of
-   * the other failure domains the one with the most peers gives way, so that none
-   * falls out of the view while it is silent.
+   * Peers of which one has to be evicted to make room for the new one; empty
+   * while there is room. Outside the own failure domain they are those of the
+   * domain with the most peers, so that a silent domain is not evicted
+   * entirely.
    */
-  private crowdAround({failureDomain}: PeerDaemon): readonly PeerDaemon[] {
+  private selectEvictable({failureDomain}: PeerDaemon): readonly PeerDaemon[] {
     const own = this.options.failureDomain;
     const all = [...this.peers.values()];
     if (failureDomain === own) {
-      const near = all.filter(peer => peer.failureDomain === own);
-      return near.length > OWN_DOMAIN_PEERS ? near : [];
+      const ownDomain = all.filter(peer => peer.failureDomain === own);
+      return ownDomain.length > MAXIMUM_OWN_DOMAIN_PEERS ? ownDomain : [];
     }
-    const far = all.filter(peer => peer.failureDomain !== own);
-    return far.length > OTHER_PEERS ? largestDomainOf(far) : [];
+    const otherDomains = all.filter(peer => peer.failureDomain !== own);
+    return otherDomains.length > MAXIMUM_OTHER_DOMAIN_PEERS
+      ? largestDomainOf(otherDomains)
+      : [];
   }
 
-  private noteLeaving(peer: PeerDaemon): void {
+  private trackLeaving(peer: PeerDaemon): void {
     const {address, failureDomain, leaving} = peer;
     if (leaving && failureDomain === this.options.failureDomain) {
-      this.leavers.set(address, peer);
-      keepNewest(this.leavers, LEAVING_PEERS);
+      this.leavingPeers.set(address, peer);
+      keepNewest(this.leavingPeers, MAXIMUM_LEAVING_PEERS);
     } else {
-      this.leavers.delete(address);
+      this.leavingPeers.delete(address);
     }
   }
 
-  private forget(now: number): void {
-    [this.peers, this.lost, this.leavers].forEach(known =>
+  private removeExpired(now: number): void {
+    [this.peers, this.lostPeers, this.leavingPeers].forEach(known =>
       known.forEach(({aliveAt}, address) => {
-        if (now - aliveAt > FORGET_AGE_MS) {
+        if (now - aliveAt > RETENTION_MS) {
           known.delete(address);
         }
       }),
@@ -235,14 +258,13 @@
   }
 }
 
-/** A peer as it is told of. */
-function toldOf(peer: PeerDaemon, now: number): PeerAge {
+function toPeerAge(peer: PeerDaemon, now: number): PeerAge {
   const {address, failureDomain, leaving, hasCopy, aliveAt} = peer;
   const ageMs = Math.round(now - aliveAt);
   return {address, failureDomain, leaving, hasCopy, ageMs};
 }
 
-/** The peers of the failure domain that has the most of them. */
+/** Peers of the failure domain with the most peers. */
 function largestDomainOf(peers: readonly PeerDaemon[]): readonly PeerDaemon[] {
   const byDomain = new Map<string, PeerDaemon[]>();
   peers.forEach(peer => {
@@ -253,7 +275,7 @@
   return [...byDomain.values()].reduce((a, b) => (b.length > a.length ? b : a));
 }
 
-/** Drops the peers heard of longest ago until `count` are left. */
+/** Removes the least recently heard peers until `count` are left. */
 function keepNewest(peers: Map<number, PeerDaemon>, count: number): void {
   while (peers.size > count) {
     const oldest = [...peers.values()].reduce((a, b) =>
--- a/src/membership/pending-pings.ts
+++ b/src/membership/pending-pings.ts
@@ -1,68 +1,78 @@
 /**
- * Greetings that peers have not answered. Who is greeted answers at once, so several
- * greetings without an answer, and no word of the peer from anyone else, tell a peer
- * that is lost from one that merely was not spoken of.
+ * Tracks pings that peers have not answered. A live peer answers immediately,
+ * so several unanswered pings, without news of the peer from anyone else,
+ * distinguish a lost peer from one that is merely not gossiped about.
  */
 import type {PeerDaemon} from './peer-daemon.js';
 
-/** Greetings without an answer, each a round of beats apart, that make a peer lost. */
-const GREETINGS = 3;
+/** Unanswered pings, one per heartbeat round, after which a peer is lost. */
+const PINGS_BEFORE_LOST = 3;
 
-interface Unanswered {
+interface UnansweredPings {
   readonly peer: PeerDaemon;
   readonly count: number;
-  /** When the first of them was sent; monotonic milliseconds. */
-  readonly since: number;
+  /** Monotonic milliseconds at which the first of them was sent. */
+  readonly firstSentAt: number;
 }
 
-/** The greetings of one daemon. */
+/** Unanswered pings of one daemon. */
 export class PendingPings {
-  private readonly unanswered = new Map<number, Unanswered>();
+  private readonly unanswered = new Map<number, UnansweredPings>();
 
   private constructor() {}
 
-  /** Creates a record without greetings. */
   static create(): PendingPings {
     return new PendingPings();
   }
 
-  /** Notes that a peer was greeted at `now` (monotonic milliseconds). */
-  note(peer: PeerDaemon, now: number): void {
-    const {count, since} = this.unanswered.get(peer.address) ?? {
+  /** Records a ping sent to a peer at `now` (monotonic milliseconds). */
+  record(peer: PeerDaemon, now: number): void {
+    const {count, firstSentAt: since} = this.unanswered.get(peer.address) ?? {
       count: 0,
-      since: now,
+      firstSentAt: now,
     };
-    this.unanswered.set(peer.address, {peer, count: count + 1, since});
+    this.unanswered.set(peer.address, {
+      peer,
+      count: count + 1,
+      firstSentAt: since,
+    });
   }
 
-  /** Takes news of a peer: a sign of life since the first greeting answers it. */
-  hear(peer: PeerDaemon): void {
+  /**
+   * Applies news of a peer: a sign of life since the first unanswered ping
+   * answers them all.
+   */
+  updatePeer(peer: PeerDaemon): void {
     const known = this.unanswered.get(peer.address);
     if (known === undefined) {
       return;
     }
-    if (peer.aliveAt >= known.since) {
+    if (peer.aliveAt >= known.firstSentAt) {
       this.unanswered.delete(peer.address);
     } else {
       this.unanswered.set(peer.address, {...known, peer});
     }
   }
 
-  /** Peers that owe an answer. */
-  owing(): PeerDaemon[] {
+  /** Peers with unanswered pings. */
+  listPending(): PeerDaemon[] {
     return [...this.unanswered.values()].map(({peer}) => peer);
   }
 
-  /** Whether a peer owes an answer. */
-  isOwing(address: number): boolean {
+  /** Whether a peer has unanswered pings. */
+  isPending(address: number): boolean {
     return this.unanswered.has(address);
   }
 
-  /** Takes out the peers that were greeted often enough, and last lived before a time. */
-  takeLost(livedBefore: number): PeerDaemon[] {
+  /**
+   * Removes and returns the peers that left enough pings unanswered and were
+   * last alive before a time.
+   */
+  takeLost(aliveBefore: number): PeerDaemon[] {
     const lost = [...this.unanswered.values()]
       .filter(
-        ({peer, count}) => count >= GREETINGS && peer.aliveAt < livedBefore,
+        ({peer, count}) =>
+          count >= PINGS_BEFORE_LOST && peer.aliveAt < aliveBefore,
       )
       .map(({peer}) => peer);
     lost.forEach(({address}) => this.unanswered.delete(address));
--- a/src/membership/replicated-state.ts
+++ b/src/membership/replicated-state.ts
@@ -1,116 +1,125 @@
 /**
- * The newest revision and server marks, staged and active.
+ * Configuration revision and server marks of one daemon, staged and active.
  *
- * "Staged" is all that this daemon knows; flows opened elsewhere by it are
- * expected. "Active" is what every peer has staged; flows are opened by it.
+ * Staged is all that this daemon knows: it expects that peers place flows by
+ * it. Active is what every peer has staged: this daemon places flows by it.
  */
 import type {Change, RevisionBundle, ServerMark} from '../generated/peer.js';
 import type {RoutingRevision} from '../routing/routed-address.js';
 import {ServerMarks} from '../routing/server-marks.js';
 import type {ChangeLog} from './change-log.js';
-import {ACTIVATION_HOLD_MS} from './timing.js';
+import {ACTIVATION_DELAY_MS} from './timing.js';
 
-/** Snapshots that wait for confirmation; the oldest are merged away. */
-const MAXIMUM_WAITING = 32;
+/**
+ * Maximum snapshots waiting for activation; the oldest are dropped, as newer
+ * ones include them.
+ */
+const MAXIMUM_PENDING = 32;
 
 /** What was staged when the log reached an index. */
-interface Snapshot {
+interface StagedSnapshot {
   readonly index: number;
   readonly revision: number;
   readonly marks: ServerMarks;
-  /** When it may become active, once every peer has staged it; monotonic. */
+  /**
+   * Monotonic time from which it may be activated; undefined until all peers
+   * have confirmed it.
+   */
   activeFromMs: number | undefined;
 }
 
-/** Told of what becomes staged and active. */
+/** Notified of what is staged and activated. */
 export interface ReplicatedStateListener {
   onStaged(revision: RoutingRevision, marks: ServerMarks): void;
   onActive(revision: number, marks: ServerMarks): void;
-  /** A mark that was new. */
+  /** Called for each newly applied mark. */
   onMark(mark: ServerMark): void;
 }
 
-/** Reads the document of a revision; undefined when it is not readable. */
-export type RevisionReader = (
+/** Parses the document of a revision; undefined when it is invalid. */
+export type RevisionParser = (
   bundle: RevisionBundle,
 ) => RoutingRevision | undefined;
 
-/** The knowledge of one daemon. */
+/** Staged and active state of one daemon. */
 export class ReplicatedState {
   readonly marks = ServerMarks.create();
-  private revision: RoutingRevision = {revision: 0, addresses: []};
-  private document: RevisionBundle | undefined;
-  private waiting: Snapshot[] = [];
+  private stagedRevision: RoutingRevision = {revision: 0, addresses: []};
+  private stagedBundle: RevisionBundle | undefined;
+  private pending: StagedSnapshot[] = [];
   private activeIndex = 0;
   private activeRevision = 0;
 
   private constructor(
     private readonly log: ChangeLog,
-    private readonly read: RevisionReader,
+    private readonly parseRevision: RevisionParser,
     private readonly listener: ReplicatedStateListener,
   ) {}
 
-  /** Creates empty knowledge. */
+  /** Creates the state without a revision or marks. */
   static create(
     log: ChangeLog,
-    read: RevisionReader,
+    read: RevisionParser,
     listener: ReplicatedStateListener,
   ): ReplicatedState {
     return new ReplicatedState(log, read, listener);
   }
 
-  /** The newest revision that is staged. */
+  /** The newest staged revision. */
   get staged(): RoutingRevision {
-    return this.revision;
+    return this.stagedRevision;
   }
 
-  /** The revision that flows are opened by. */
+  /** The active revision, by which flows are placed. */
   get active(): number {
     return this.activeRevision;
   }
 
-  /** The newest revision as it was received. */
+  /** The newest revision as received; undefined before the first one. */
   get bundle(): RevisionBundle | undefined {
-    return this.document;
+    return this.stagedBundle;
   }
 
-  /** Takes changes; returns whether any of them was news. */
+  /** Applies and logs changes; returns whether any of them was new. */
   apply(changes: readonly Omit<Change, 'index'>[]): boolean {
-    const news = changes.filter(change => this.applyOne(change));
-    if (news.length === 0) {
+    const accepted = changes.filter(change => this.applyOne(change));
+    if (accepted.length === 0) {
       return false;
     }
-    this.listener.onStaged(this.revision, this.marks);
-    this.waiting = [
-      ...this.waiting,
+    this.listener.onStaged(this.stagedRevision, this.marks);
+    this.pending = [
+      ...this.pending,
       {
         index: this.log.top,
-        revision: this.revision.revision,
+        revision: this.stagedRevision.revision,
         marks: this.marks.copy(),
         activeFromMs: undefined,
       },
-    ].slice(-MAXIMUM_WAITING);
+    ].slice(-MAXIMUM_PENDING);
     return true;
   }
 
-  /** Activates what all the peers have staged for a while. */
+  /**
+   * Activates the newest state that all given peers confirmed at least the
+   * activation delay ago.
+   */
   activateConfirmed(peers: readonly string[], nowMs: number): void {
-    const confirmed = this.log.confirmedBy(peers);
-    this.waiting
+    const confirmed = this.log.confirmedIndexOf(peers);
+    this.pending
       .filter(({index}) => index <= confirmed)
       .forEach(snapshot => {
-        snapshot.activeFromMs ??= nowMs + ACTIVATION_HOLD_MS;
+        snapshot.activeFromMs ??= nowMs + ACTIVATION_DELAY_MS;
       });
-    const ripe = this.waiting.filter(
+    const due = this.pending.filter(
       ({activeFromMs}) => activeFromMs !== undefined && activeFromMs <= nowMs,
     );
-    const newest = ripe[ripe.length - 1];
+    const newest = due[due.length - 1];
     if (newest === undefined || newest.index <= this.activeIndex) {
       return;
     }
     this.activeIndex = newest.index;
     this.activeRevision = newest.revision;
-    this.waiting = this.waiting.filter(({index}) => index > newest.index);
+    this.pending = this.pending.filter(({index}) => index > newest.index);
     this.listener.onActive(newest.revision, newest.marks);
   }
 
@@ -130,17 +139,17 @@
     return true;
   }
 
-  /** Only newer revisions are taken, so none ever reverts. */
+  /** Applies newer revisions only, so a revision never reverts. */
   private applyRevision(bundle: RevisionBundle): boolean {
-    if (bundle.revision <= this.revision.revision) {
+    if (bundle.revision <= this.stagedRevision.revision) {
       return false;
     }
-    const read = this.read(bundle);
-    if (read === undefined) {
+    const parsed = this.parseRevision(bundle);
+    if (parsed === undefined) {
       return false;
     }
-    this.revision = read;
-    this.document = bundle;
+    this.stagedRevision = parsed;
+    this.stagedBundle = bundle;
     this.log.append({revision: bundle, mark: undefined});
     return true;
   }
--- a/src/recovery/entry-exchange.ts
+++ b/src/recovery/entry-exchange.ts
@@ -30,7 +30,7 @@
 /** Sends entries to the other holders and takes theirs. */
 export class EntryExchange {
   /** Entries made here of late, in the order of their deadlines. */
-  private recent: RecentUpdate[] = [];
+  private recentUpdates: RecentUpdate[] = [];
 
   private constructor(private readonly options: EntryExchangeOptions) {}
 
@@ -46,21 +46,23 @@
     target: string,
   ): number {
     return target === '' || target === this.options.self
-      ? this.take(sender, exceptions)
-      : this.handOn(target, exceptions);
+      ? this.accept(sender, exceptions)
+      : this.relay(target, exceptions);
   }
 
   /** Forgets entries that need not be sent again. */
   sweep(): void {
     const now = this.options.clock.now();
-    this.recent = this.recent.filter(({deadline}) => deadline > now);
+    this.recentUpdates = this.recentUpdates.filter(
+      ({deadline}) => deadline > now,
+    );
   }
 
   /**
    * Takes entries. Those of a daemon that does not hold the partition go to
    * the other holder too, which the sender may not reach.
    */
-  private take(sender: string, exceptions: readonly FlowException[]): number {
+  private accept(sender: string, exceptions: readonly FlowException[]): number {
     const self = this.options.self;
     exceptions.forEach(exception => {
       const {keyHigh: high, keyLow: low} = exception;
@@ -77,7 +79,7 @@
   }
 
   /** Sends the entries of partitions that changed hands. */
-  transfer(transfer: PartitionTransfer): void {
+  sendPartitions(transfer: PartitionTransfer): void {
     const entries = this.options.router.exceptionsOf(
       transfer.partitions,
       transfer.includeCached,
@@ -97,13 +99,18 @@
    */
   resendRecent(before: Ownership): void {
     const now = this.options.clock.now();
-    this.recent = this.recent.filter(({deadline}) => deadline > now);
-    this.recent.forEach(({update: {partition, exception}}) => {
-      const known = [...before.holdersOf(partition), this.options.self];
+    this.recentUpdates = this.recentUpdates.filter(
+      ({deadline}) => deadline > now,
+    );
+    this.recentUpdates.forEach(({update: {partition, exception}}) => {
+      const previousHolders = [
+        ...before.holdersOf(partition),
+        this.options.self,
+      ];
       this.options
         .ownership()
         .holdersOf(partition)
-        .filter(holder => !known.includes(holder))
+        .filter(holder => !previousHolders.includes(holder))
         .forEach(holder => this.options.replicator.send(holder, [exception]));
     });
   }
@@ -112,7 +119,7 @@
   flush(): void {
     const updates = this.options.router.takeUpdates();
     const deadline = this.options.clock.now() + FORMER_HOLDER_QUERY_MS;
-    updates.forEach(update => this.recent.push({update, deadline}));
+    updates.forEach(update => this.recentUpdates.push({update, deadline}));
     const byReceiver = new Map<string, FlowException[]>();
     updates.forEach(({partition, exception}) =>
       this.options
@@ -130,7 +137,7 @@
     );
   }
 
-  private handOn(target: string, exceptions: readonly FlowException[]): number {
+  private relay(target: string, exceptions: readonly FlowException[]): number {
     this.options.replicator.send(target, exceptions);
     return exceptions.length;
   }
--- a/src/recovery/fleet-joining.ts
+++ b/src/recovery/fleet-joiner.ts
@@ -3,7 +3,11 @@
 import type {ChangeLog} from '../membership/change-log.js';
 import type {FailureDetector} from '../membership/failure-detector.js';
 import type {MemberList} from '../membership/member-list.js';
-import {MemberState, memberOf, type Member} from '../membership/member.js';
+import {
+  MemberState,
+  memberFromUpdate,
+  type Member,
+} from '../membership/member.js';
 import type {Clock} from '../ports/clock.js';
 import type {Hasher} from '../ports/hasher.js';
 import type {Peers} from '../ports/peers.js';
@@ -11,15 +15,15 @@
 import {Ownership} from '../routing/ownership.js';
 import type {Router} from '../routing/router.js';
 
-const PULL_MS = 3_000;
+const PULL_TIMEOUT_MS = 3_000;
 /** Longest time to wait for the owners' answers, in milliseconds. */
-const TOUCH_MS = 2_000;
-const POLL_MS = 50;
+const OWNER_RESPONSE_TIMEOUT_MS = 2_000;
+const POLL_INTERVAL_MS = 50;
 /** Peers that a joining daemon asks for the members. */
-const TEACHERS = 5;
+const BOOTSTRAP_PEERS = 5;
 
 /** What joining is made from. */
-export interface FleetJoiningOptions {
+export interface FleetJoinerOptions {
   readonly members: MemberList;
   readonly log: ChangeLog;
   readonly detector: FailureDetector;
@@ -29,19 +33,19 @@
   readonly hasher: Hasher;
   readonly timeline: Timeline;
   /** Takes changes that a peer had. */
-  learn(changes: readonly Omit<Change, 'index'>[]): void;
+  applyChanges(changes: readonly Omit<Change, 'index'>[]): void;
 }
 
 /** What a daemon fetches from its peers, at its start and later. */
-export class FleetJoining {
+export class FleetJoiner {
   private readonly pulling = new Set<string>();
   private rejoining = false;
 
-  private constructor(private readonly options: FleetJoiningOptions) {}
+  private constructor(private readonly options: FleetJoinerOptions) {}
 
   /** Creates joining that has not begun. */
-  static create(options: FleetJoiningOptions): FleetJoining {
-    return new FleetJoining(options);
+  static create(options: FleetJoinerOptions): FleetJoiner {
+    return new FleetJoiner(options);
   }
 
   /** Fetches what is not staged here of a peer's log. */
@@ -51,56 +55,59 @@
     }
     this.pulling.add(peer.id);
     const {clock, peers} = this.options;
-    const seen = this.options.log.seen(peer.id);
+    const seen = this.options.log.stagedPosition(peer.id);
     const after = seen.epoch === epoch ? seen.top : 0;
     const pulled = await peers.pullChanges(
       peer.address,
       epoch,
       after,
-      clock.now() + PULL_MS,
+      clock.now() + PULL_TIMEOUT_MS,
     );
     this.pulling.delete(peer.id);
     pulled.map(list => {
-      this.options.learn(list.changes);
-      this.options.log.markSeen(peer.id, list.epoch, list.top);
+      this.options.applyChanges(list.changes);
+      this.options.log.recordStaged(peer.id, list.epoch, list.top);
       this.options.detector.probeNow(peer.id);
       return list;
     });
   }
 
   /** Asks an unknown sender of a probe who it is. */
-  async meet(id: string, address: string): Promise<void> {
+  async identifySender(id: string, address: string): Promise<void> {
     if (this.pulling.has(id)) {
       return;
     }
     this.pulling.add(id);
-    await this.learnFrom(address);
+    await this.pullMembersFrom(address);
     this.pulling.delete(id);
   }
 
   /** Learns from a few peers; when none of them answers, from all. */
-  async learnFromSome(addresses: readonly string[]): Promise<void> {
+  async pullMembersFromSome(addresses: readonly string[]): Promise<void> {
     const {hasher, members} = this.options;
     const seed = hasher.hashText(members.self.id, 0);
     const rank = (address: string) => hasher.hashText(address, seed);
     const ranked = [...addresses].sort((a, b) => rank(a) - rank(b));
-    const some = ranked.slice(0, TEACHERS);
+    const selected = ranked.slice(0, BOOTSTRAP_PEERS);
     const answered = await Promise.all(
-      some.map(address => this.learnFrom(address)),
+      selected.map(address => this.pullMembersFrom(address)),
     );
     if (!answered.includes(true)) {
-      const rest = ranked.slice(TEACHERS);
-      await Promise.all(rest.map(address => this.learnFrom(address)));
+      const rest = ranked.slice(BOOTSTRAP_PEERS);
+      await Promise.all(rest.map(address => this.pullMembersFrom(address)));
     }
   }
 
   /** Learns members and flow counts from a peer; false without an answer. */
-  async learnFrom(address: string): Promise<boolean> {
+  async pullMembersFrom(address: string): Promise<boolean> {
     const {clock, peers} = this.options;
-    const learned = await peers.pullMembers(address, clock.now() + PULL_MS);
+    const learned = await peers.pullMembers(
+      address,
+      clock.now() + PULL_TIMEOUT_MS,
+    );
     learned.map(message => {
       message.members.forEach(update =>
-        this.options.members.mergeMember(memberOf(update)),
+        this.options.members.mergeMember(memberFromUpdate(update)),
       );
       message.loads.forEach(load =>
         this.options.router.flowCounts.receive(load),
@@ -114,15 +121,21 @@
   private async fetchState(): Promise<void> {
     const {clock, hasher, peers, timeline} = this.options;
     const owners = this.options.members.owners();
-    const future = Ownership.create(
+    const prospective = Ownership.create(
       [...owners, this.options.members.self],
       hasher,
     );
-    const partitions = future.partitionsHeldBy(this.options.members.self.id);
+    const partitions = prospective.partitionsHeldBy(
+      this.options.members.self.id,
+    );
     const pulls = owners
       .filter(({id}) => id !== this.options.members.self.id)
       .map(owner =>
-        peers.pullState(owner.address, partitions, clock.now() + PULL_MS),
+        peers.pullState(
+          owner.address,
+          partitions,
+          clock.now() + PULL_TIMEOUT_MS,
+        ),
       );
     const results = await Promise.all(pulls);
     results.forEach(result =>
@@ -148,19 +161,19 @@
    * before and back, so both sides must be in touch first.
    */
   async becomeReady(): Promise<void> {
-    const deadline = this.options.clock.now() + TOUCH_MS;
+    const deadline = this.options.clock.now() + OWNER_RESPONSE_TIMEOUT_MS;
     this.options.detector.announce();
     await this.waitUntil(
-      () => this.isInTouchWithOwners() || this.options.clock.now() > deadline,
+      () => this.areOwnersResponsive() || this.options.clock.now() > deadline,
     );
     await this.fetchState();
     if (this.options.members.self.state === MemberState.JOINING) {
-      this.options.members.moveSelf(MemberState.READY);
+      this.options.members.setOwnState(MemberState.READY);
       this.options.detector.announce();
     }
   }
 
-  private isInTouchWithOwners(): boolean {
+  private areOwnersResponsive(): boolean {
     return this.options.members
       .owners()
       .every(
@@ -173,7 +186,7 @@
   /** Resolves when a condition holds. */
   async waitUntil(holds: () => boolean): Promise<void> {
     while (!holds()) {
-      await this.pause(this.options.clock.now() + POLL_MS);
+      await this.pause(this.options.clock.now() + POLL_INTERVAL_MS);
     }
   }
 
--- a/src/recovery/flow-coordinator.ts
+++ b/src/recovery/flow-coordinator.ts
@@ -11,7 +11,7 @@
 import {FailureDetector} from '../membership/failure-detector.js';
 import {
   ReplicatedState,
-  type RevisionReader,
+  type RevisionParser,
 } from '../membership/replicated-state.js';
 import {MemberList} from '../membership/member-list.js';
 import {
@@ -36,7 +36,7 @@
   type StateScope,
 } from '../routing/router.js';
 import {EntryExchange} from './entry-exchange.js';
-import {FleetJoining} from './fleet-joining.js';
+import {FleetJoiner} from './fleet-joiner.js';
 import {planHandover} from './handover.js';
 import {PacketPath} from './packet-path.js';
 import {Replicator} from './replicator.js';
@@ -45,7 +45,7 @@
 const REBUILD_INTERVAL_MS = 30_000;
 const FLUSH_INTERVAL_MS = 50;
 /** Entries in one message of a pulled state. */
-const PULL_BATCH = 2_000;
+const PULL_BATCH_ENTRIES = 2_000;
 
 /** What a coordinator is made from. */
 export interface FlowCoordinatorOptions {
@@ -57,7 +57,7 @@
   readonly peers: Peers;
   readonly backends: BackendServers;
   /** Reads the document of a revision. */
-  readonly read: RevisionReader;
+  readonly read: RevisionParser;
   readonly maximumEntries: number;
   readonly scope?: StateScope;
   readonly placement?: RouterOptions['placement'];
@@ -77,9 +77,9 @@
   readonly replicatedState: ReplicatedState;
   readonly detector: FailureDetector;
   readonly replicator: Replicator;
-  private readonly packets: PacketPath;
+  private readonly packetPath: PacketPath;
   private readonly exchange: EntryExchange;
-  private readonly joining: FleetJoining;
+  private readonly joiner: FleetJoiner;
   private ownership: Ownership;
   private readonly cleanups: (() => void)[] = [];
 
@@ -111,11 +111,13 @@
       peers,
       clock,
       hooks: {
-        onBehind: (peer, epoch) => void this.joining.pullChanges(peer, epoch),
+        onUnstagedChanges: (peer, epoch) =>
+          void this.joiner.pullChanges(peer, epoch),
         onConfirmed: () => this.activate(),
-        onStranger: (id, address) => void this.joining.meet(id, address),
-        onDeclaredDead: () => void this.joining.rejoin(),
-        onContactRestored: () => this.askBackups(),
+        onUnknownSender: (id, address) =>
+          void this.joiner.identifySender(id, address),
+        onDeclaredDead: () => void this.joiner.rejoin(),
+        onContactRestored: () => this.queryBackups(),
         loadToPublish: () => this.router.flowCounts.publish(),
         onLoad: load => this.router.flowCounts.receive(load),
       },
@@ -126,7 +128,7 @@
       addressOf: id => this.addressOf(id),
       relayFor: id => this.relayFor(id),
     });
-    this.packets = PacketPath.create({
+    this.packetPath = PacketPath.create({
       ...options,
       members: this.members,
       router: this.router,
@@ -138,17 +140,17 @@
       replicator: this.replicator,
       ownership: () => this.ownership,
     });
-    this.joining = FleetJoining.create({
+    this.joiner = FleetJoiner.create({
       ...options,
       members: this.members,
       log: this.log,
       detector: this.detector,
       router: this.router,
-      learn: changes => this.learn(changes),
+      applyChanges: changes => this.learn(changes),
     });
     this.ownership = Ownership.create([], hasher);
     this.members.onChange((member, before) => this.onMember(member, before));
-    this.useOwnership();
+    this.updateOwnership();
   }
 
   /** Creates a coordinator that has not joined yet. */
@@ -169,7 +171,7 @@
   /** What peers may ask of this daemon about flows and members. */
   handlers(): FlowHandlers {
     return {
-      onPassed: (_sender, passed) => this.packets.onPassed(passed),
+      onPassed: (_sender, passed) => this.packetPath.onPassed(passed),
       onHint: (_sender, hint) => this.router.onHint(hint),
       onProbe: (sender, probe, address) =>
         this.detector.onProbe(sender, probe, address),
@@ -187,12 +189,12 @@
     const {clock} = this.options;
     this.cleanups.push(
       this.detector.start(),
-      repeat(clock, SWEEP_INTERVAL_MS, () => {
+      runPeriodically(clock, SWEEP_INTERVAL_MS, () => {
         this.exchange.sweep();
         this.router.sweep();
       }),
-      repeat(clock, REBUILD_INTERVAL_MS, () => this.router.rebuild()),
-      repeat(clock, FLUSH_INTERVAL_MS, () => {
+      runPeriodically(clock, REBUILD_INTERVAL_MS, () => this.router.rebuild()),
+      runPeriodically(clock, FLUSH_INTERVAL_MS, () => {
         this.exchange.flush();
         this.activate();
       }),
@@ -207,12 +209,10 @@
    */
   async join(addresses: readonly string[]): Promise<void> {
     await Promise.all(
-      addresses.map(address => this.joining.learnFrom(address)),
+      addresses.map(address => this.joiner.pullMembersFrom(address)),
     );
-    await this.joining.waitUntil(
-      () => this.replicatedState.staged.revision > 0,
-    );
-    await this.joining.becomeReady();
+    await this.joiner.waitUntil(() => this.replicatedState.staged.revision > 0);
+    await this.joiner.becomeReady();
     this.options.timeline.record(EventKind.READY, {
       revision: this.replicatedState.staged.revision,
     });
@@ -231,7 +231,7 @@
 
   /** Handles a packet from the fabric. */
   handle(packet: FabricPacket): void {
-    this.packets.handle(packet);
+    this.packetPath.handle(packet);
   }
 
   /**
@@ -239,7 +239,7 @@
    * all entries, or at the deadline. Packets are handled until `stop`.
    */
   async leave(deadline: number): Promise<boolean> {
-    this.members.moveSelf(MemberState.LEAVING);
+    this.members.setOwnState(MemberState.LEAVING);
     this.detector.announce();
     const {clock} = this.options;
     // Peers ask this daemon for unknown flows until they own them for good.
@@ -250,19 +250,19 @@
   /** Resolves when peers have confirmed every entry; false at the deadline. */
   settle(deadline: number): Promise<boolean> {
     this.exchange.flush();
-    return this.replicator.settled(deadline);
+    return this.replicator.waitUntilIdle(deadline);
   }
 
   /** Stops all tasks and says goodbye. */
   stop(): void {
-    this.members.moveSelf(MemberState.LEFT);
+    this.members.setOwnState(MemberState.LEFT);
     this.detector.announce();
     this.cleanups.forEach(cleanup => cleanup());
   }
 
   private activate(): void {
     const now = this.options.clock.now();
-    this.replicatedState.activateConfirmed(this.detector.peersInContact(), now);
+    this.replicatedState.activateConfirmed(this.detector.peersToConfirm(), now);
   }
 
   private onMember(member: Member, before: Member | undefined): void {
@@ -284,7 +284,7 @@
   }
 
   /** The backups may have decided while this daemon did not run. */
-  private askBackups(): void {
+  private queryBackups(): void {
     const self = this.members.self.id;
     const deadline = this.options.clock.now() + FORMER_HOLDER_QUERY_MS;
     this.ownership
@@ -303,20 +303,20 @@
     const {clock, timeline} = this.options;
     const before = this.ownership;
     this.exchange.flush();
-    this.useOwnership();
+    this.updateOwnership();
     const plan = planHandover({
       self: this.members.self.id,
       before,
       after: this.ownership,
       withoutSelf: this.ownershipWithoutSelf(),
-      runs: id => this.runs(id),
+      isRunning: id => this.isRunning(id),
     });
-    plan.transfers.forEach(transfer => this.exchange.transfer(transfer));
+    plan.transfers.forEach(transfer => this.exchange.sendPartitions(transfer));
     this.exchange.resendRecent(before);
-    plan.takeovers.forEach(({partition, formerHolders: predecessors}) =>
+    plan.takeovers.forEach(({partition, formerHolders: formerHolders}) =>
       this.router.formerHolders.use(
         partition,
-        predecessors,
+        formerHolders,
         clock.now() + FORMER_HOLDER_QUERY_MS,
       ),
     );
@@ -327,7 +327,7 @@
     });
   }
 
-  private useOwnership(): void {
+  private updateOwnership(): void {
     const owners = this.members.owners();
     this.ownership = Ownership.create(owners, this.options.hasher);
     this.router.useView({
@@ -348,7 +348,7 @@
     return Ownership.create(others, this.options.hasher);
   }
 
-  private runs(id: string): boolean {
+  private isRunning(id: string): boolean {
     const member = this.members.get(id);
     return member !== undefined && handlesPackets(member);
   }
@@ -365,7 +365,7 @@
   }
 
   private addressOf(id: string): string | undefined {
-    return this.runs(id) ? this.members.get(id)?.address : undefined;
+    return this.isRunning(id) ? this.members.get(id)?.address : undefined;
   }
 
   private memberMessage(): MemberListMessage {
@@ -383,14 +383,14 @@
 }
 
 function inBatches(entries: readonly FlowException[]): FlowException[][] {
-  const count = Math.ceil(entries.length / PULL_BATCH);
+  const count = Math.ceil(entries.length / PULL_BATCH_ENTRIES);
   return Array.from({length: count}, (_, index) =>
-    entries.slice(index * PULL_BATCH, (index + 1) * PULL_BATCH),
+    entries.slice(index * PULL_BATCH_ENTRIES, (index + 1) * PULL_BATCH_ENTRIES),
   );
 }
 
 /** Calls a task at an interval; the returned function stops it. */
-function repeat(
+function runPeriodically(
   clock: Clock,
   intervalMs: number,
   task: () => void,
--- a/src/recovery/handover.ts
+++ b/src/recovery/handover.ts
@@ -31,7 +31,7 @@
   /** The ownership among the members after, this daemon left out. */
   readonly withoutSelf: Ownership;
   /** Whether a member runs, leaving ones included. */
-  runs(member: string): boolean;
+  isRunning(member: string): boolean;
 }
 
 const PARTITIONS = Array.from({length: PARTITION_COUNT}, (_, index) => index);
@@ -41,7 +41,7 @@
   return {
     transfers: planTransfers(context),
     takeovers: PARTITIONS.flatMap(partition =>
-      planAdoption(partition, context),
+      planTakeover(partition, context),
     ),
   };
 }
@@ -53,7 +53,7 @@
     PartitionTransfer & {partitions: Set<number>}
   >();
   PARTITIONS.forEach(partition => {
-    const includeCached = hasNoHolderLeft(partition, context);
+    const includeCached = hasLostAllHolders(partition, context);
     if (!includeCached && !isSender(partition, context)) {
       return;
     }
@@ -82,34 +82,38 @@
 /** The first earlier holder that runs is the one that sends. */
 function isSender(partition: number, context: HandoverContext): boolean {
   return (
-    context.before.holdersOf(partition).find(id => context.runs(id)) ===
+    context.before.holdersOf(partition).find(id => context.isRunning(id)) ===
     context.self
   );
 }
 
-function hasNoHolderLeft(partition: number, context: HandoverContext): boolean {
+function hasLostAllHolders(
+  partition: number,
+  context: HandoverContext,
+): boolean {
   const before = context.before.holdersOf(partition);
-  return before.length > 0 && !before.some(id => context.runs(id));
+  return before.length > 0 && !before.some(id => context.isRunning(id));
 }
 
 /**
  * Another daemon that joined a moment ago may have owned the partition by the
  * views of some, unknown to this daemon until now; so it is asked as well.
  */
-function planAdoption(
+function planTakeover(
   partition: number,
   context: HandoverContext,
 ): PartitionTakeover[] {
   const {self, before, after, withoutSelf} = context;
-  const earlier = before.holdersOf(partition);
-  const rivals = withoutSelf.holdersOf(partition);
-  const predecessors = [...new Set([...earlier, ...rivals])].filter(
-    id => id !== self && context.runs(id),
-  );
-  const adopts =
+  const holdersBefore = before.holdersOf(partition);
+  const holdersWithoutSelf = withoutSelf.holdersOf(partition);
+  const formerHolders = [
+    ...new Set([...holdersBefore, ...holdersWithoutSelf]),
+  ].filter(id => id !== self && context.isRunning(id));
+  const takesOver =
     after.ownerOf(partition) === self &&
-    (!earlier.includes(self) || rivals.some(id => !earlier.includes(id)));
-  return adopts && predecessors.length > 0
-    ? [{partition, formerHolders: predecessors}]
+    (!holdersBefore.includes(self) ||
+      holdersWithoutSelf.some(id => !holdersBefore.includes(id)));
+  return takesOver && formerHolders.length > 0
+    ? [{partition, formerHolders: formerHolders}]
     : [];
 }
--- a/src/recovery/packet-path.ts
+++ b/src/recovery/packet-path.ts
@@ -43,7 +43,7 @@
   /** Handles a packet from the fabric. */
   handle(packet: FabricPacket): void {
     const decision = this.options.router.route(packet.packet, FROM_FABRIC);
-    this.carryOut(decision, packet, FROM_FABRIC, this.options.members.self.id);
+    this.execute(decision, packet, FROM_FABRIC, this.options.members.self.id);
   }
 
   /** Handles a packet that a peer passed on. */
@@ -58,30 +58,34 @@
     const decision = this.options.router.route(packet, arrival);
     const bytes = passed.packet;
     this.options.counters.add(Metric.PACKETS_DECIDED_FOR_PEER);
-    this.carryOut(decision, {packet, bytes}, arrival, passed.entry);
+    this.execute(decision, {packet, bytes}, arrival, passed.entry);
   }
 
-  private carryOut(
+  private execute(
     decision: Decision,
     packet: FabricPacket,
     arrival: Arrival,
-    entry: string,
+    ingress: string,
   ): void {
     // This runs for every packet, where pattern matching costs too much.
     if (decision.kind === DecisionKind.FORWARD) {
-      this.forward(decision, packet, entry);
+      this.forward(decision, packet, ingress);
     } else if (decision.kind === DecisionKind.PASS) {
-      this.pass(decision, packet.bytes, arrival.hops + 1, entry);
+      this.pass(decision, packet.bytes, arrival.hops + 1, ingress);
     } else {
       this.drop(decision);
     }
   }
 
-  private forward(forward: Forward, packet: FabricPacket, entry: string): void {
+  private forward(
+    forward: Forward,
+    packet: FabricPacket,
+    ingress: string,
+  ): void {
     this.options.counters.add(Metric.PACKETS_FORWARDED);
     this.options.backends.send(forward.server, packet.bytes);
     if (forward.remember !== undefined) {
-      this.sendHint(forward.server, forward.remember, packet.packet, entry);
+      this.sendHint(forward.server, forward.remember, packet.packet, ingress);
     }
   }
 
@@ -97,7 +101,7 @@
     pass: Pass,
     bytes: Uint8Array,
     hops: number,
-    entry: string,
+    ingress: string,
   ): void {
     this.options.counters.add(Metric.PACKETS_PASSED);
     const address = this.options.members.get(pass.member)?.address;
@@ -111,7 +115,7 @@
       this.options.peers.pass(address, {
         hops,
         decide,
-        entry,
+        entry: ingress,
         packet,
         chain: [...chain],
       });
@@ -122,9 +126,9 @@
     server: string,
     key: FlowKey,
     packet: PacketHeader,
-    entry: string,
+    ingress: string,
   ): void {
-    const address = this.options.members.get(entry)?.address;
+    const address = this.options.members.get(ingress)?.address;
     if (address !== undefined) {
       const hint: Hint = {
         keyHigh: key.high,
--- a/src/recovery/replicator.ts
+++ b/src/recovery/replicator.ts
@@ -7,13 +7,13 @@
 import type {Peers} from '../ports/peers.js';
 
 /** Time in which entries are gathered into a batch, in milliseconds. */
-const BATCH_MS = 100;
+const BATCH_INTERVAL_MS = 100;
 /** Most entries in a batch; about 40 bytes each. */
-const BATCH_ENTRIES = 2_000;
+const MAXIMUM_BATCH_ENTRIES = 2_000;
 /** Time a peer has to confirm a batch, in milliseconds. */
-const CONFIRM_MS = 1_000;
+const BATCH_TIMEOUT_MS = 1_000;
 /** Most entries that wait for one peer; the oldest go first. */
-const MAXIMUM_WAITING = 200_000;
+const MAXIMUM_QUEUED_ENTRIES = 200_000;
 
 /** Whether a peer can still take entries. */
 export type PeerAddressLookup = (member: string) => string | undefined;
@@ -40,7 +40,7 @@
 export class Replicator {
   private readonly queues = new Map<string, PeerQueue>();
   private idleWaiters: (() => void)[] = [];
-  private sent = 0;
+  private confirmedEntries = 0;
 
   private constructor(private readonly options: ReplicatorOptions) {}
 
@@ -51,7 +51,7 @@
 
   /** Entries confirmed by peers so far. */
   get confirmed(): number {
-    return this.sent;
+    return this.confirmedEntries;
   }
 
   /** Entries that no peer has confirmed yet. */
@@ -69,7 +69,7 @@
     }
     const queue = this.queueOf(member);
     entries.forEach(entry => queue.entries.push(entry));
-    const excess = queue.entries.length - MAXIMUM_WAITING;
+    const excess = queue.entries.length - MAXIMUM_QUEUED_ENTRIES;
     if (excess > 0) {
       queue.entries.splice(0, excess);
     }
@@ -80,7 +80,7 @@
   }
 
   /** Resolves when nothing waits, or at the deadline; true when nothing waits. */
-  async settled(deadline: number): Promise<boolean> {
+  async waitUntilIdle(deadline: number): Promise<boolean> {
     if (this.waiting === 0) {
       return true;
     }
@@ -117,14 +117,14 @@
     address: string,
     queue: PeerQueue,
   ): Promise<void> {
-    const batch = queue.entries.splice(0, BATCH_ENTRIES);
+    const batch = queue.entries.splice(0, MAXIMUM_BATCH_ENTRIES);
     queue.inFlight = batch.length;
-    const sent =
+    const isConfirmed =
       (await this.push(address, batch)) ||
       (await this.pushThroughRelay(member, batch));
     queue.inFlight = 0;
-    if (sent) {
-      this.sent += batch.length;
+    if (isConfirmed) {
+      this.confirmedEntries += batch.length;
     } else {
       // Taking entries twice does no harm, so the whole batch is sent again.
       queue.entries = [...batch, ...queue.entries];
@@ -146,7 +146,7 @@
     target?: string,
   ): Promise<boolean> {
     const {clock, peers} = this.options;
-    const deadline = clock.now() + CONFIRM_MS;
+    const deadline = clock.now() + BATCH_TIMEOUT_MS;
     const pushed = await peers.pushExceptions(address, batch, deadline, target);
     return pushed.isOk();
   }
@@ -154,7 +154,7 @@
   private pause(): Promise<void> {
     const {clock} = this.options;
     return new Promise(resolve => {
-      clock.callAt(clock.now() + BATCH_MS, resolve);
+      clock.callAt(clock.now() + BATCH_INTERVAL_MS, resolve);
     });
   }
 
