--- a/src/membership/peer-contacts.ts
+++ b/src/membership/peer-contacts.ts
@@ -170,8 +170,8 @@
   }
 
   /**
-   * Whether the probe task has not run for so long that peers may have stopped
-   * relying on this daemon.
+   * Whether the probe task has not run for so long that the process must have
+   * been paused.
    */
   private hasPaused(): boolean {
     return this.clock.now() - this.lastTickMs > PAUSE_DETECTION_MS;
--- a/src/membership/peer-view.spec.ts
+++ b/src/membership/peer-view.spec.ts
@@ -122,7 +122,7 @@
   assert.equal(view.silent(5_300).length, 8);
 });
 
-test('leaving peers of the own failure domain are gossiped until they may have restarted', () => {
+test('leaving peers of the same failure domain are gossiped until they may have restarted', () => {
   const view = createView();
   Array.from({length: 200}, (_peer, index) =>
     view.merge(peerAge(index + 2, 0), 0),
--- a/src/membership/peer-view.ts
+++ b/src/membership/peer-view.ts
@@ -3,8 +3,8 @@
  * Daemons gossip the time since each peer was last known to be alive, and the
  * smallest age wins, so no synchronized clocks are needed.
  *
- * In a large fleet the view keeps the most recently heard peers of the own
- * failure domain and of the others. A peer is declared lost only after
+ * In a large fleet the view keeps the most recently heard peers of this
+ * daemon's failure domain and of the others. A peer is declared lost only after
  * unanswered pings, never because it was evicted from the view.
  */
 import type {PeerAge} from '../generated/catalog.js';
@@ -16,14 +16,14 @@
 const RETENTION_MS = 60_000;
 
 /**
- * Maximum peers kept of the own failure domain, and of all others together.
- * Newscast gossip stays connected with views of 20 entries; twice as many
- * tolerate losing half of the fleet at once.
+ * Maximum peers kept of this daemon's failure domain, and of all others
+ * together. Newscast gossip stays connected with views of 20 entries; twice as
+ * many tolerate losing half of the fleet at once.
  */
 const MAXIMUM_OWN_DOMAIN_PEERS = 24;
 const MAXIMUM_OTHER_DOMAIN_PEERS = 24;
 
-/** Maximum leaving peers kept of the own failure domain. */
+/** Maximum leaving peers kept of this daemon's failure domain. */
 const MAXIMUM_LEAVING_PEERS = 24;
 
 /**
@@ -51,8 +51,8 @@
 export class PeerView {
   private readonly peers = new Map<number, PeerDaemon>();
   /**
-   * Peers of the own failure domain that are leaving or have left, until they
-   * return.
+   * Peers of this daemon's failure domain that are leaving or have left, until
+   * they return.
    */
   private readonly leavingPeers = new Map<number, PeerDaemon>();
   private readonly lostPeers = new Map<number, PeerDaemon>();
@@ -98,7 +98,7 @@
   }
 
   /**
-   * Peers of the own failure domain that are leaving, or left within the
+   * Peers of this daemon's failure domain that are leaving, or left within the
    * restart window.
    */
   leaving(now: number): PeerDaemon[] {
@@ -108,7 +108,8 @@
   }
 
   /**
-   * Peers of the own failure domain that fell silent within the restart window.
+   * Peers of this daemon's failure domain that fell silent within the restart
+   * window.
    */
   missing(now: number): PeerDaemon[] {
     return this.silent(now).filter(
@@ -220,8 +221,8 @@
 
   /**
    * Peers of which one has to be evicted to make room for the new one; empty
-   * while there is room. Outside the own failure domain they are those of the
-   * domain with the most peers, so that a silent domain is not evicted
+   * while there is room. Outside this daemon's failure domain they are those of
+   * the domain with the most peers, so that a silent domain is not evicted
    * entirely.
    */
   private selectEvictable({failureDomain}: PeerDaemon): readonly PeerDaemon[] {
--- a/src/recovery/entry-exchange.ts
+++ b/src/recovery/entry-exchange.ts
@@ -1,4 +1,4 @@
-/** Exchange of flow entries with the other holders of their partitions. */
+/** Replicates flow entries among the daemons that hold their partitions. */
 import type {FlowException} from '../generated/peer.js';
 import {FORMER_HOLDER_QUERY_MS} from '../membership/timing.js';
 import type {Clock} from '../ports/clock.js';
@@ -9,13 +9,14 @@
 import type {PartitionTransfer} from './handover.js';
 import type {Replicator} from './replicator.js';
 
-/** An entry made here and the monotonic time until which it may be sent again. */
+/**
+ * An entry written here and the monotonic time until which it may be resent.
+ */
 interface RecentUpdate {
   readonly update: EntryUpdate;
   readonly deadline: number;
 }
 
-/** What an exchange is made from. */
 export interface EntryExchangeOptions {
   /** Id of this daemon. */
   readonly self: string;
@@ -23,23 +24,27 @@
   readonly timeline: Timeline;
   readonly router: Router;
   readonly replicator: Replicator;
-  /** The ownership by this daemon's view. */
+  /** Returns the ownership by this daemon's current view. */
   ownership(): Ownership;
 }
 
-/** Sends entries to the other holders and takes theirs. */
+/**
+ * Sends entries to the other holders of their partitions and applies theirs.
+ */
 export class EntryExchange {
-  /** Entries made here of late, in the order of their deadlines. */
+  /** Entries written here recently, in the order of their deadlines. */
   private recentUpdates: RecentUpdate[] = [];
 
   private constructor(private readonly options: EntryExchangeOptions) {}
 
-  /** Creates an exchange. */
   static create(options: EntryExchangeOptions): EntryExchange {
     return new EntryExchange(options);
   }
 
-  /** Takes entries, or hands them on to their target; returns how many. */
+  /**
+   * Applies entries, or relays them to their target. Returns the number
+   * accepted.
+   */
   receive(
     sender: string,
     exceptions: readonly FlowException[],
@@ -50,7 +55,7 @@
       : this.relay(target, exceptions);
   }
 
-  /** Forgets entries that need not be sent again. */
+  /** Drops entries that no longer need to be resent. */
   sweep(): void {
     const now = this.options.clock.now();
     this.recentUpdates = this.recentUpdates.filter(
@@ -59,8 +64,9 @@
   }
 
   /**
-   * Takes entries. Those of a daemon that does not hold the partition go to
-   * the other holder too, which the sender may not reach.
+   * Applies entries from a peer. Those of partitions that the sender does not
+   * hold are also sent to the other holder, which the sender may be unable to
+   * reach.
    */
   private accept(sender: string, exceptions: readonly FlowException[]): number {
     const self = this.options.self;
@@ -78,7 +84,7 @@
     return this.options.router.applyExceptions(exceptions);
   }
 
-  /** Sends the entries of partitions that changed hands. */
+  /** Sends the entries of partitions to their new holder. */
   sendPartitions(transfer: PartitionTransfer): void {
     const entries = this.options.router.exceptionsOf(
       transfer.partitions,
@@ -94,8 +100,8 @@
   }
 
   /**
-   * Sends entries made here a moment ago to new holders. They may be on their
-   * way to holders that have sent off what they had.
+   * Sends recently written entries to new holders. Such an entry may still be
+   * on its way to holders that have already sent off their state.
    */
   resendRecent(before: Ownership): void {
     const now = this.options.clock.now();
--- a/src/recovery/fleet-joiner.ts
+++ b/src/recovery/fleet-joiner.ts
@@ -1,4 +1,4 @@
-/** Joining the fleet: learning members and changes, fetching state. */
+/** Joins the fleet: pulls members, changes and flow entries from peers. */
 import type {Change} from '../generated/peer.js';
 import type {ChangeLog} from '../membership/change-log.js';
 import type {FailureDetector} from '../membership/failure-detector.js';
@@ -16,13 +16,12 @@
 import type {Router} from '../routing/router.js';
 
 const PULL_TIMEOUT_MS = 3_000;
-/** Longest time to wait for the owners' answers, in milliseconds. */
+/** Longest wait for answers of all owners before joining without them. */
 const OWNER_RESPONSE_TIMEOUT_MS = 2_000;
 const POLL_INTERVAL_MS = 50;
-/** Peers that a joining daemon asks for the members. */
+/** Peers that a joining daemon pulls the members from. */
 const BOOTSTRAP_PEERS = 5;
 
-/** What joining is made from. */
 export interface FleetJoinerOptions {
   readonly members: MemberList;
   readonly log: ChangeLog;
@@ -32,23 +31,23 @@
   readonly clock: Clock;
   readonly hasher: Hasher;
   readonly timeline: Timeline;
-  /** Takes changes that a peer had. */
+  /** Applies changes pulled from a peer. */
   applyChanges(changes: readonly Omit<Change, 'index'>[]): void;
 }
 
-/** What a daemon fetches from its peers, at its start and later. */
+/** Pulls state from peers, when a daemon joins and later. */
 export class FleetJoiner {
   private readonly pulling = new Set<string>();
   private rejoining = false;
 
   private constructor(private readonly options: FleetJoinerOptions) {}
 
-  /** Creates joining that has not begun. */
+  /** Creates a joiner; nothing is pulled yet. */
   static create(options: FleetJoinerOptions): FleetJoiner {
     return new FleetJoiner(options);
   }
 
-  /** Fetches what is not staged here of a peer's log. */
+  /** Pulls the changes of a peer's log that are not staged here. */
   async pullChanges(peer: Member, epoch: number): Promise<void> {
     if (this.pulling.has(peer.id)) {
       return;
@@ -72,7 +71,7 @@
     });
   }
 
-  /** Asks an unknown sender of a probe who it is. */
+  /** Pulls the members from an unknown sender, itself among them. */
   async identifySender(id: string, address: string): Promise<void> {
     if (this.pulling.has(id)) {
       return;
@@ -82,7 +81,9 @@
     this.pulling.delete(id);
   }
 
-  /** Learns from a few peers; when none of them answers, from all. */
+  /**
+   * Pulls members from a few peers; from all others if none of them answers.
+   */
   async pullMembersFromSome(addresses: readonly string[]): Promise<void> {
     const {hasher, members} = this.options;
     const seed = hasher.hashText(members.self.id, 0);
@@ -98,14 +99,14 @@
     }
   }
 
-  /** Learns members and flow counts from a peer; false without an answer. */
+  /** Pulls members and flow counts from a peer; false if the call failed. */
   async pullMembersFrom(address: string): Promise<boolean> {
     const {clock, peers} = this.options;
-    const learned = await peers.pullMembers(
+    const reply = await peers.pullMembers(
       address,
       clock.now() + PULL_TIMEOUT_MS,
     );
-    learned.map(message => {
+    reply.map(message => {
       message.members.forEach(update =>
         this.options.members.mergeMember(memberFromUpdate(update)),
       );
@@ -114,10 +115,10 @@
       );
       return message;
     });
-    return learned.isOk();
+    return reply.isOk();
   }
 
-  /** Fetches the entries of the partitions that this daemon is to hold. */
+  /** Pulls the entries of the partitions that this daemon will hold. */
   private async fetchState(): Promise<void> {
     const {clock, hasher, peers, timeline} = this.options;
     const owners = this.options.members.owners();
@@ -146,7 +147,7 @@
     );
   }
 
-  /** Joins again after the others took this daemon for dead. */
+  /** Rejoins after other members declared this daemon dead. */
   async rejoin(): Promise<void> {
     if (this.rejoining) {
       return;
@@ -157,8 +158,8 @@
   }
 
   /**
-   * Owns partitions from now on. Packets of unknown flows go to the owners
-   * before and back, so both sides must be in touch first.
+   * Takes ownership of partitions. Packets of unknown flows pass between this
+   * daemon and the former owners, so both must be responsive first.
    */
   async becomeReady(): Promise<void> {
     const deadline = this.options.clock.now() + OWNER_RESPONSE_TIMEOUT_MS;
@@ -183,7 +184,7 @@
       );
   }
 
-  /** Resolves when a condition holds. */
+  /** Polls until the condition holds. */
   async waitUntil(holds: () => boolean): Promise<void> {
     while (!holds()) {
       await this.pause(this.options.clock.now() + POLL_INTERVAL_MS);
--- a/src/recovery/flow-coordinator.spec.ts
+++ b/src/recovery/flow-coordinator.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Stateful fuzzing of a whole fleet against an oracle: a flow belongs to the
- * server that got its open first, until it is closed.
+ * Stateful fuzzing of a fleet against an oracle: a flow belongs to the server
+ * that received its open first, until it is closed.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -34,10 +34,10 @@
   ...PAY_SERVERS.map(id => [id, PAY.service] as const),
   ...DOCS_SERVERS.map(id => [id, DOCS.service] as const),
 ]);
-/** A flow this young may be lost with the daemon that placed it. */
-const YOUNG_MS = 1_000;
-/** Least time between two losses of a daemon. */
-const LOSS_GAP_MS = 8_000;
+/** Age below which a flow may be lost with the daemon that placed it. */
+const REPLICATION_GRACE_MS = 1_000;
+/** Minimum time between two injected losses of a daemon. */
+const MINIMUM_LOSS_INTERVAL_MS = 8_000;
 
 interface OracleFlow {
   readonly destination: typeof PAY;
@@ -115,10 +115,10 @@
   },
 );
 
-/** One run: the fleet, the oracle and what went wrong. */
-class Run {
+/** One fuzz run: the fleet, the oracle and the violations found. */
+class FuzzRun {
   readonly fleet: MemoryFleet;
-  readonly problems: string[] = [];
+  readonly violations: string[] = [];
   private readonly flows = new Map<string, OracleFlow>();
   private readonly drainedAt = new Map<string, number>();
   private readonly payServers = new Set(PAY_SERVERS);
@@ -131,7 +131,8 @@
       hasher,
       seed,
       services: SERVICES,
-      listener: (server, packet, reset) => this.judge(server, packet, reset),
+      listener: (server, packet, reset) =>
+        this.checkDelivery(server, packet, reset),
     });
   }
 
@@ -169,10 +170,10 @@
         await this.leave(step.pick);
         break;
       case 'crash':
-        this.lose(step.pick, daemon => this.fleet.crash(daemon.id));
+        this.injectLoss(step.pick, daemon => this.fleet.crash(daemon.id));
         break;
       case 'freeze':
-        this.lose(step.pick, ({id}) => this.fleet.setFrozen(id, true));
+        this.injectLoss(step.pick, ({id}) => this.fleet.setFrozen(id, true));
         break;
       case 'thaw':
         this.fleet.daemons.forEach(({id}) => this.fleet.setFrozen(id, false));
@@ -196,18 +197,18 @@
     await this.fleet.clock.advance(5);
   }
 
-  /** Everything heals; then every open flow must still be served. */
+  /** Ends all faults; every open flow must then still be served. */
   async finish(): Promise<void> {
     this.fleet.network.cut.clear();
     this.fleet.daemons.forEach(({id}) => this.fleet.setFrozen(id, false));
     await this.fleet.clock.advance(10_000);
     this.sendData();
     await this.fleet.clock.advance(50);
-    assert.deepEqual(this.problems, []);
+    assert.deepEqual(this.violations, []);
     assert.equal(this.fleet.backends.misrouted, 0);
   }
 
-  private judge(server: string, packet: Packet, reset: boolean): void {
+  private checkDelivery(server: string, packet: Packet, reset: boolean): void {
     const flow = this.flows.get(`${packet.sourceAddress}:${packet.sourcePort}`);
     if (flow === undefined || flow.exempt || flow.closed) {
       return;
@@ -220,8 +221,8 @@
     }
     if (reset || flow.server !== server) {
       const age = this.fleet.clock.now() - flow.openedMs;
-      this.problems.push(
-        `flow ${packet.sourcePort} of ${flow.server} (age ${age}) at ${server}`,
+      this.violations.push(
+        `flow ${packet.sourcePort} placed at ${flow.server} (age ${age} ms) was delivered to ${server}`,
       );
     }
   }
@@ -229,8 +230,8 @@
   private checkDrain(server: string, port: number): void {
     const drained = this.drainedAt.get(server);
     if (drained !== undefined && this.fleet.clock.now() - drained > 3_000) {
-      this.problems.push(
-        `flow ${port} is new at ${server}, drained long before`,
+      this.violations.push(
+        `flow ${port} was placed at ${server}, which drains for over 3 s`,
       );
     }
   }
@@ -247,14 +248,16 @@
       exempt: false,
     });
     const copies = this.fleet.random.happens(0.2) ? 2 : 1;
-    Array.from({length: copies}).forEach(() => this.spray(packet));
+    Array.from({length: copies}).forEach(() => this.sendToAnyDaemon(packet));
   }
 
-  /** Every open flow sends one packet to any daemon. */
+  /** Sends one packet of each open flow to any daemon. */
   private sendData(): void {
     [...this.flows.values()].forEach((flow, number) => {
       if (flow.server !== undefined && !flow.closed) {
-        this.spray(packetOf(number, PacketKind.DATA, flow.destination));
+        this.sendToAnyDaemon(
+          packetOf(number, PacketKind.DATA, flow.destination),
+        );
       }
     });
   }
@@ -264,12 +267,14 @@
       const chosen = this.fleet.random.happens(share);
       if (chosen && flow.server !== undefined && !flow.closed) {
         flow.closed = true;
-        this.spray(packetOf(number, PacketKind.CLOSE, flow.destination));
+        this.sendToAnyDaemon(
+          packetOf(number, PacketKind.CLOSE, flow.destination),
+        );
       }
     });
   }
 
-  private spray(packet: Packet): void {
+  private sendToAnyDaemon(packet: Packet): void {
     const daemons = [...this.fleet.daemons.values()].filter(
       ({coordinator}) => coordinator.isReady,
     );
@@ -286,26 +291,26 @@
     }
   }
 
-  /** A crash or a freeze; young flows and half-done opens are exempt. */
-  private lose(pick: number, act: (daemon: FleetDaemon) => void): void {
+  /** Crashes or freezes a daemon; new flows and unfinished opens are exempt. */
+  private injectLoss(pick: number, act: (daemon: FleetDaemon) => void): void {
     const {ready, daemons} = this.fleet;
     const now = this.fleet.clock.now();
-    const alone = [...daemons.values()].every(
+    const allReady = [...daemons.values()].every(
       ({frozen, coordinator}) => !frozen && coordinator.isReady,
     );
     const cut = this.fleet.network.cut.size > 0;
     if (
       ready.length < 4 ||
-      !alone ||
+      !allReady ||
       cut ||
-      now - this.lastLossMs < LOSS_GAP_MS
+      now - this.lastLossMs < MINIMUM_LOSS_INTERVAL_MS
     ) {
       return;
     }
     this.lastLossMs = now;
     this.flows.forEach(flow => {
       flow.exempt ||=
-        flow.server === undefined || now - flow.openedMs < YOUNG_MS;
+        flow.server === undefined || now - flow.openedMs < REPLICATION_GRACE_MS;
     });
     act(ready[pick % ready.length]);
   }
@@ -325,7 +330,9 @@
     this.fleet.mark(server, state, this.fleet.running);
   }
 
-  /** Adds or removes a payment server; one daemon or a few read it at once. */
+  /**
+   * Adds or removes a payment server; one or several daemons read the change.
+   */
   private edit(pick: number, readers: number): void {
     const server = PAY_SERVERS[pick % PAY_SERVERS.length];
     if (!this.payServers.has(server)) {
@@ -340,10 +347,11 @@
     const all = [...this.fleet.daemons.values()];
     const a = all[from % all.length];
     const b = all[to % all.length];
-    const busy =
+    const hasOtherFault =
       all.some(({frozen}) => frozen) || this.fleet.network.cut.size > 0;
-    const soon = this.fleet.clock.now() - this.lastLossMs < LOSS_GAP_MS;
-    if (a !== b && !busy && !soon) {
+    const isAfterLoss =
+      this.fleet.clock.now() - this.lastLossMs < MINIMUM_LOSS_INTERVAL_MS;
+    if (a !== b && !hasOtherFault && !isAfterLoss) {
       this.fleet.network.setCut(a.address, b.address, true);
     }
   }
@@ -397,7 +405,7 @@
       fc.integer({min: 1, max: 1_000_000}),
       fc.array(STEP, {minLength: 5, maxLength: 40}),
       async (seed, steps) => {
-        const run = new Run(seed);
+        const run = new FuzzRun(seed);
         await run.start();
         await steps.reduce(async (earlier, step) => {
           await earlier;
--- a/src/recovery/flow-coordinator.ts
+++ b/src/recovery/flow-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * One daemon's part in keeping flows: it joins routing, membership, the log of
- * changes and the moves of state, and knows the outside through ports alone.
+ * Coordinates one daemon's routing, membership, change log and flow entries.
+ * All input and output goes through ports.
  */
 import type {
   Change,
@@ -44,10 +44,9 @@
 const SWEEP_INTERVAL_MS = 1_000;
 const REBUILD_INTERVAL_MS = 30_000;
 const FLUSH_INTERVAL_MS = 50;
-/** Entries in one message of a pulled state. */
+/** Maximum entries in one message of a pulled state. */
 const PULL_BATCH_ENTRIES = 2_000;
 
-/** What a coordinator is made from. */
 export interface FlowCoordinatorOptions {
   readonly self: Member;
   readonly clock: Clock;
@@ -56,14 +55,14 @@
   readonly timeline: Timeline;
   readonly peers: Peers;
   readonly backends: BackendServers;
-  /** Reads the document of a revision. */
+  /** Parses the document of a revision; undefined when it is invalid. */
   readonly read: RevisionParser;
   readonly maximumEntries: number;
   readonly scope?: StateScope;
   readonly placement?: RouterOptions['placement'];
 }
 
-/** The part of the peers' handlers that is about flows and members. */
+/** Peer handlers for flows and membership. */
 export type FlowHandlers = Omit<
   PeerHandlers,
   'onForward' | 'onKeepKeys' | 'onPullKeys'
@@ -78,7 +77,7 @@
   readonly detector: FailureDetector;
   readonly replicator: Replicator;
   private readonly packetPath: PacketPath;
-  private readonly exchange: EntryExchange;
+  private readonly entryExchange: EntryExchange;
   private readonly joiner: FleetJoiner;
   private ownership: Ownership;
   private readonly cleanups: (() => void)[] = [];
@@ -113,7 +112,7 @@
       hooks: {
         onUnstagedChanges: (peer, epoch) =>
           void this.joiner.pullChanges(peer, epoch),
-        onConfirmed: () => this.activate(),
+        onConfirmed: () => this.activateStaged(),
         onUnknownSender: (id, address) =>
           void this.joiner.identifySender(id, address),
         onDeclaredDead: () => void this.joiner.rejoin(),
@@ -133,7 +132,7 @@
       members: this.members,
       router: this.router,
     });
-    this.exchange = EntryExchange.create({
+    this.entryExchange = EntryExchange.create({
       ...options,
       self: self.id,
       router: this.router,
@@ -149,16 +148,18 @@
       applyChanges: changes => this.learn(changes),
     });
     this.ownership = Ownership.create([], hasher);
-    this.members.onChange((member, before) => this.onMember(member, before));
+    this.members.onChange((member, before) =>
+      this.onMemberChange(member, before),
+    );
     this.updateOwnership();
   }
 
-  /** Creates a coordinator that has not joined yet. */
+  /** Creates a coordinator that has not joined the fleet. */
   static create(options: FlowCoordinatorOptions): FlowCoordinator {
     return new FlowCoordinator(options);
   }
 
-  /** Owners and backups by this daemon's view. */
+  /** Owners and backups of partitions by this daemon's view. */
   get currentOwnership(): Ownership {
     return this.ownership;
   }
@@ -168,7 +169,7 @@
     return ownsPartitions(this.members.self);
   }
 
-  /** What peers may ask of this daemon about flows and members. */
+  /** Returns the handlers of peer messages and calls. */
   handlers(): FlowHandlers {
     return {
       onPassed: (_sender, passed) => this.packetPath.onPassed(passed),
@@ -176,7 +177,7 @@
       onProbe: (sender, probe, address) =>
         this.detector.onProbe(sender, probe, address),
       onExceptions: (sender, exceptions, target) =>
-        this.exchange.receive(sender, exceptions, target),
+        this.entryExchange.receive(sender, exceptions, target),
       onPullState: (_sender, partitions) =>
         inBatches(this.router.exceptionsOf(new Set(partitions))),
       onPullChanges: (_sender, epoch, after) => this.log.since(epoch, after),
@@ -184,28 +185,28 @@
     };
   }
 
-  /** Starts probing and the regular tasks. */
+  /** Starts the failure detector and the periodic tasks. */
   start(): void {
     const {clock} = this.options;
     this.cleanups.push(
       this.detector.start(),
       runPeriodically(clock, SWEEP_INTERVAL_MS, () => {
-        this.exchange.sweep();
+        this.entryExchange.sweep();
         this.router.sweep();
       }),
       runPeriodically(clock, REBUILD_INTERVAL_MS, () => this.router.rebuild()),
       runPeriodically(clock, FLUSH_INTERVAL_MS, () => {
-        this.exchange.flush();
-        this.activate();
+        this.entryExchange.flush();
+        this.activateStaged();
       }),
     );
   }
 
   /**
-   * Joins the fleet: learns members and changes from the peers at the given
-   * addresses, fetches the state of the partitions to come, then owns them.
-   * Waits for a configuration; the owner of the daemon supplies one when no
-   * peer has it.
+   * Joins the fleet: pulls members and changes from the peers at the given
+   * addresses, then the entries of its future partitions, and takes ownership
+   * of these. Waits until a revision is staged; if no peer has one, the caller
+   * supplies it.
    */
   async join(addresses: readonly string[]): Promise<void> {
     await Promise.all(
@@ -218,14 +219,16 @@
     });
   }
 
-  /** Takes changes from the store or the platform and tells the peers. */
+  /**
+   * Applies changes from the store or the platform and announces them to peers.
+   */
   learn(changes: readonly Omit<Change, 'index'>[]): void {
     if (this.replicatedState.apply(changes)) {
       this.options.timeline.record(EventKind.REVISION_STAGED, {
         revision: this.replicatedState.staged.revision,
       });
       this.detector.announce();
-      this.activate();
+      this.activateStaged();
     }
   }
 
@@ -235,37 +238,41 @@
   }
 
   /**
-   * Gives the partitions away; resolves when the new holders have confirmed
-   * all entries, or at the deadline. Packets are handled until `stop`.
+   * Hands this daemon's partitions over. Resolves to true when the new holders
+   * have confirmed all entries, to false at the deadline. Packets are handled
+   * until `stop`.
    */
   async leave(deadline: number): Promise<boolean> {
     this.members.setOwnState(MemberState.LEAVING);
     this.detector.announce();
     const {clock} = this.options;
-    // Peers ask this daemon for unknown flows until they own them for good.
+    // New owners query this daemon for unknown flows during this time.
     await this.pause(Math.min(deadline, clock.now() + FORMER_HOLDER_QUERY_MS));
     return this.settle(deadline);
   }
 
-  /** Resolves when peers have confirmed every entry; false at the deadline. */
+  /**
+   * Sends all changed entries; resolves to true when peers have confirmed every
+   * entry, to false at the deadline.
+   */
   settle(deadline: number): Promise<boolean> {
-    this.exchange.flush();
+    this.entryExchange.flush();
     return this.replicator.waitUntilIdle(deadline);
   }
 
-  /** Stops all tasks and says goodbye. */
+  /** Announces that this daemon has left and stops all tasks. */
   stop(): void {
     this.members.setOwnState(MemberState.LEFT);
     this.detector.announce();
     this.cleanups.forEach(cleanup => cleanup());
   }
 
-  private activate(): void {
+  private activateStaged(): void {
     const now = this.options.clock.now();
     this.replicatedState.activateConfirmed(this.detector.peersToConfirm(), now);
   }
 
-  private onMember(member: Member, before: Member | undefined): void {
+  private onMemberChange(member: Member, before: Member | undefined): void {
     this.options.timeline.record(EventKind.MEMBER_STATE, {
       member: member.id,
       state: MEMBER_STATE_NAMES[member.state],
@@ -283,7 +290,10 @@
     }
   }
 
-  /** The backups may have decided while this daemon did not run. */
+  /**
+   * Has unknown flows of owned partitions looked up at their backups, which may
+   * have placed them while this daemon was paused.
+   */
   private queryBackups(): void {
     const self = this.members.self.id;
     const deadline = this.options.clock.now() + FORMER_HOLDER_QUERY_MS;
@@ -298,11 +308,13 @@
       });
   }
 
-  /** Moves state after a change of the owners. */
+  /**
+   * Recomputes ownership after a change of the owners and moves flow entries.
+   */
   private changeOwnership(): void {
     const {clock, timeline} = this.options;
     const before = this.ownership;
-    this.exchange.flush();
+    this.entryExchange.flush();
     this.updateOwnership();
     const plan = planHandover({
       self: this.members.self.id,
@@ -311,9 +323,11 @@
       withoutSelf: this.ownershipWithoutSelf(),
       isRunning: id => this.isRunning(id),
     });
-    plan.transfers.forEach(transfer => this.exchange.sendPartitions(transfer));
-    this.exchange.resendRecent(before);
-    plan.takeovers.forEach(({partition, formerHolders: formerHolders}) =>
+    plan.transfers.forEach(transfer =>
+      this.entryExchange.sendPartitions(transfer),
+    );
+    this.entryExchange.resendRecent(before);
+    plan.takeovers.forEach(({partition, formerHolders}) =>
       this.router.formerHolders.use(
         partition,
         formerHolders,
@@ -389,7 +403,7 @@
   );
 }
 
-/** Calls a task at an interval; the returned function stops it. */
+/** Runs a task periodically; the returned function stops it. */
 function runPeriodically(
   clock: Clock,
   intervalMs: number,
--- a/src/recovery/handover.ts
+++ b/src/recovery/handover.ts
@@ -1,42 +1,47 @@
-/** Moves flow state when partitions change hands. */
+/** Plans which flow entries move when partitions change holders. */
 import {PARTITION_COUNT} from '../routing/flow-key.js';
 import type {Ownership} from '../routing/ownership.js';
 
-/** A set of partitions whose entries go to one member. */
+/** Partitions whose entries go to one member. */
 export interface PartitionTransfer {
   readonly receiver: string;
   readonly partitions: ReadonlySet<number>;
-  /** Every earlier holder is gone: what peers' answers left behind goes too. */
+  /**
+   * Whether cached answers of peers are sent too, because no former holder
+   * runs.
+   */
   readonly includeCached: boolean;
 }
 
-/** A partition that this daemon owns and whose state others may still have. */
+/**
+ * A partition that this daemon now owns and whose state others may still have.
+ */
 export interface PartitionTakeover {
   readonly partition: number;
-  /** Holders before, and those that hold it by views without this daemon. */
+  /** Holders before the change, and holders by views that lack this daemon. */
   readonly formerHolders: readonly string[];
 }
 
-/** What a change of ownership asks of one daemon. */
+/** What one daemon does after a change of ownership. */
 export interface HandoverPlan {
   readonly transfers: readonly PartitionTransfer[];
   readonly takeovers: readonly PartitionTakeover[];
 }
 
-/** What the plan depends on. */
+/** Input of the plan. */
 export interface HandoverContext {
   readonly self: string;
   readonly before: Ownership;
   readonly after: Ownership;
-  /** The ownership among the members after, this daemon left out. */
+  /** Ownership among the members after the change, without this daemon. */
   readonly withoutSelf: Ownership;
-  /** Whether a member runs, leaving ones included. */
+  /** Whether a member handles packets; includes leaving members. */
   isRunning(member: string): boolean;
 }
 
 const PARTITIONS = Array.from({length: PARTITION_COUNT}, (_, index) => index);
 
-/** Plans the moves of one daemon; every daemon plans its own. */
+/** Plans the moves of one daemon; each daemon plans its own. */
 export function planHandover(context: HandoverContext): HandoverPlan {
   return {
     transfers: planTransfers(context),
@@ -46,7 +51,10 @@
   };
 }
 
-/** Groups the partitions to send by receiver and by how much is sent. */
+/**
+ * Groups the partitions to send by receiver and by whether cached answers are
+ * included.
+ */
 function planTransfers(context: HandoverContext): PartitionTransfer[] {
   const groups = new Map<
     string,
@@ -79,7 +87,7 @@
     .filter(holder => !before.includes(holder) && holder !== context.self);
 }
 
-/** The first earlier holder that runs is the one that sends. */
+/** Whether this daemon is the first former holder that still runs. */
 function isSender(partition: number, context: HandoverContext): boolean {
   return (
     context.before.holdersOf(partition).find(id => context.isRunning(id)) ===
@@ -96,8 +104,9 @@
 }
 
 /**
- * Another daemon that joined a moment ago may have owned the partition by the
- * views of some, unknown to this daemon until now; so it is asked as well.
+ * Plans the takeover of a partition. Another daemon that joined recently may
+ * own it by views that lack this daemon, so the holders by such a view are
+ * queried too.
  */
 function planTakeover(
   partition: number,
@@ -114,6 +123,6 @@
     (!holdersBefore.includes(self) ||
       holdersWithoutSelf.some(id => !holdersBefore.includes(id)));
   return takesOver && formerHolders.length > 0
-    ? [{partition, formerHolders: formerHolders}]
+    ? [{partition, formerHolders}]
     : [];
 }
--- a/src/recovery/mechanisms.spec.ts
+++ b/src/recovery/mechanisms.spec.ts
@@ -1,4 +1,4 @@
-/** Each mechanism on and off: what breaks without it must hold with it. */
+/** Ablations: flows survive with each mechanism and break without it. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {PacketListener} from '../../standins/memory-backends.js';
@@ -89,7 +89,7 @@
   await fleet.clock.advance(20);
 }
 
-test('the naive router breaks flows when a server drains; ours does not', async () => {
+test('flows stay at a draining server; the newest-table router moves some', async () => {
   const fleet = await createFleet();
   await sendAll(fleet, PacketKind.OPEN);
   fleet.mark(SERVERS[0], MarkState.LEAVING, fleet.running);
@@ -118,11 +118,11 @@
   assert.ok(moved.length > 0);
 });
 
-test('without copies a crash breaks flows; with copies it does not', async () => {
+test('replication keeps flows through a crash; without it flows break', async () => {
   const resets = await [false, true].reduce<Promise<number[]>>(
-    async (earlier, swallowed) => {
+    async (earlier, pushesDropped) => {
       const fleet = await createFleet();
-      fleet.network.faults.swallowPushes = swallowed;
+      fleet.network.faults.swallowPushes = pushesDropped;
       await sendAll(fleet, PacketKind.OPEN);
       await fleet.clock.advance(1_500);
       fleet.crash(fleet.ready[1].id);
@@ -136,7 +136,7 @@
   assert.ok(resets[1] > 0);
 });
 
-test('without a handover a planned stop breaks flows', async () => {
+test('a handover keeps flows through a planned stop; without it flows break', async () => {
   const fleet = await createFleet();
   await sendAll(fleet, PacketKind.OPEN);
   await fleet.clock.advance(1_500);
@@ -156,7 +156,7 @@
   assert.ok(fleet.backends.resets > 0);
 });
 
-test('opening by a revision before all peers know it breaks flows', async () => {
+test('placing flows by a revision before all peers staged it breaks flows', async () => {
   const resets = await [true, false].reduce<Promise<number[]>>(
     async (earlier, staged) => {
       const fleet = await createFleet();
@@ -167,14 +167,14 @@
       ]);
       const [reader, ...others] = fleet.ready;
       if (!staged) {
-        // The reader opens by what it knows alone, as a naive daemon would.
+        // The reader places flows by its own state alone.
         others.forEach(({address}) => {
           fleet.network.setCut(address, reader.address, true);
           fleet.network.setCut(reader.address, address, true);
         });
       }
       fleet.edit(next, [reader]);
-      const {router, replicatedState: knowledge} = reader.coordinator;
+      const {router, replicatedState} = reader.coordinator;
       if (!staged) {
         router.useView({
           ownership: reader.coordinator.currentOwnership,
@@ -183,7 +183,7 @@
           isResponsive: id => id === reader.id,
           relays: [],
         });
-        router.activate(2, knowledge.marks);
+        router.activate(2, replicatedState.marks);
       }
       Array.from({length: FLOWS}).forEach((_, flow) =>
         fleet.hand(reader, packetOf(flow, PacketKind.OPEN, PAY)),
@@ -201,7 +201,7 @@
   assert.ok(resets[1] > 0);
 });
 
-test('an address given to another service misroutes nothing', async () => {
+test('reassigning an address to another service misroutes no packet', async () => {
   const fleet = await createFleet();
   await sendAll(fleet, PacketKind.OPEN);
   const reused = revisionOf(2, [
@@ -221,8 +221,8 @@
   assert.equal(fleet.backends.resets, 0);
 });
 
-test('flows opened at any moment of a join stay', async () => {
-  // An open may be lost on its way; its caller would send it again.
+test('flows opened at any moment of a join stay at their servers', async () => {
+  // An open may be lost in transit; its client would retransmit it.
   const placed = new Set<number>();
   const broken: number[] = [];
   const fleet = await createFleet((_server, packet, reset) => {
@@ -256,7 +256,7 @@
   assert.deepEqual(broken, []);
 });
 
-test('a stranger is not asked, and a daemon alone opens flows', async () => {
+test('a daemon that lost all its peers opens flows alone', async () => {
   const fleet = await createFleet();
   const [first, ...others] = fleet.ready;
   others.forEach(({id}) => fleet.crash(id));
--- a/src/recovery/packet-path.ts
+++ b/src/recovery/packet-path.ts
@@ -1,4 +1,7 @@
-/** What one daemon does with each packet: route it, hand it on, pass it on. */
+/**
+ * Routes each packet and forwards it to a backend server, passes it to a peer
+ * or drops it.
+ */
 import {
   PacketHeader,
   type Hint,
@@ -22,7 +25,6 @@
 import type {FlowKey} from '../routing/flow-key.js';
 import type {Router} from '../routing/router.js';
 
-/** What a packet path is made from. */
 export interface PacketPathOptions {
   readonly members: MemberList;
   readonly router: Router;
@@ -31,11 +33,10 @@
   readonly counters: Counters;
 }
 
-/** Packets from the fabric and from peers; runs for every packet. */
+/** Handles packets from the fabric and from peers. */
 export class PacketPath {
   private constructor(private readonly options: PacketPathOptions) {}
 
-  /** Creates the path. */
   static create(options: PacketPathOptions): PacketPath {
     return new PacketPath(options);
   }
@@ -46,7 +47,7 @@
     this.execute(decision, packet, FROM_FABRIC, this.options.members.self.id);
   }
 
-  /** Handles a packet that a peer passed on. */
+  /** Handles a packet passed by a peer. */
   onPassed(passed: PassedPacket): void {
     const packet = decodePassed(passed);
     if (packet === undefined) {
@@ -67,13 +68,13 @@
     arrival: Arrival,
     ingress: string,
   ): void {
-    // This runs for every packet, where pattern matching costs too much.
+    // Plain branches: pattern matching is too slow for every packet.
     if (decision.kind === DecisionKind.FORWARD) {
       this.forward(decision, packet, ingress);
     } else if (decision.kind === DecisionKind.PASS) {
       this.pass(decision, packet.bytes, arrival.hops + 1, ingress);
     } else {
-      this.drop(decision);
+      this.countDrop(decision);
     }
   }
 
@@ -89,7 +90,7 @@
     }
   }
 
-  private drop({reason}: Drop): void {
+  private countDrop({reason}: Drop): void {
     this.options.counters.add(
       reason === DropReason.UNKNOWN_ADDRESS
         ? Metric.PACKETS_UNKNOWN_ADDRESS
--- a/src/recovery/replicator.ts
+++ b/src/recovery/replicator.ts
@@ -1,24 +1,24 @@
 /**
- * Delivery of flow entries to other daemons: one task a peer, in batches,
- * each batch confirmed before the next.
+ * Delivers flow entries to other daemons: one queue per peer, sent in batches,
+ * each confirmed before the next.
  */
 import type {FlowException} from '../generated/peer.js';
 import type {Clock} from '../ports/clock.js';
 import type {Peers} from '../ports/peers.js';
 
-/** Time in which entries are gathered into a batch, in milliseconds. */
+/** Time in which entries are collected into a batch. */
 const BATCH_INTERVAL_MS = 100;
-/** Most entries in a batch; about 40 bytes each. */
+/** Maximum entries in a batch, of about 40 bytes each. */
 const MAXIMUM_BATCH_ENTRIES = 2_000;
-/** Time a peer has to confirm a batch, in milliseconds. */
+/** Time in which a peer has to confirm a batch. */
 const BATCH_TIMEOUT_MS = 1_000;
-/** Most entries that wait for one peer; the oldest go first. */
+/** Maximum entries queued for one peer; the oldest are dropped. */
 const MAXIMUM_QUEUED_ENTRIES = 200_000;
 
-/** Whether a peer can still take entries. */
+/** Returns the address of a member; undefined when there is none. */
 export type PeerAddressLookup = (member: string) => string | undefined;
 
-/** Entries on their way to one peer. */
+/** Entries to be sent to one peer. */
 interface PeerQueue {
   entries: FlowException[];
   /** Entries of the batch that is not confirmed yet. */
@@ -26,13 +26,12 @@
   running: boolean;
 }
 
-/** What a replicator is made from. */
 export interface ReplicatorOptions {
   readonly peers: Peers;
   readonly clock: Clock;
-  /** The address of a live member; undefined when it is gone. */
+  /** Address of a running member; undefined when it is gone. */
   readonly addressOf: PeerAddressLookup;
-  /** The address of another member that may reach this one. */
+  /** Address of another member through which this one may be reachable. */
   readonly relayFor: PeerAddressLookup;
 }
 
@@ -44,17 +43,17 @@
 
   private constructor(private readonly options: ReplicatorOptions) {}
 
-  /** Creates a replicator with nothing to send. */
+  /** Creates a replicator with empty queues. */
   static create(options: ReplicatorOptions): Replicator {
     return new Replicator(options);
   }
 
-  /** Entries confirmed by peers so far. */
+  /** Number of entries confirmed by peers. */
   get confirmed(): number {
     return this.confirmedEntries;
   }
 
-  /** Entries that no peer has confirmed yet. */
+  /** Number of entries not confirmed yet. */
   get waiting(): number {
     return [...this.queues.values()].reduce(
       (sum, queue) => sum + queue.entries.length + queue.inFlight,
@@ -62,7 +61,7 @@
     );
   }
 
-  /** Adds entries for a member. */
+  /** Queues entries for a member. */
   send(member: string, entries: readonly FlowException[]): void {
     if (entries.length === 0) {
       return;
@@ -75,11 +74,14 @@
     }
     if (!queue.running) {
       queue.running = true;
-      void this.run(member, queue);
+      void this.drainQueue(member, queue);
     }
   }
 
-  /** Resolves when nothing waits, or at the deadline; true when nothing waits. */
+  /**
+   * Resolves when all queues are empty, or at the deadline; true when they are
+   * empty.
+   */
   async waitUntilIdle(deadline: number): Promise<boolean> {
     if (this.waiting === 0) {
       return true;
@@ -94,10 +96,10 @@
     return this.waiting === 0;
   }
 
-  /** The task of one peer. */
-  private async run(member: string, queue: PeerQueue): Promise<void> {
+  /** Sends a peer's queue in batches until it is empty or the peer is gone. */
+  private async drainQueue(member: string, queue: PeerQueue): Promise<void> {
     while (queue.entries.length > 0) {
-      await this.pause();
+      await this.waitForBatch();
       const address = this.options.addressOf(member);
       if (address === undefined) {
         queue.entries = [];
@@ -126,12 +128,15 @@
     if (isConfirmed) {
       this.confirmedEntries += batch.length;
     } else {
-      // Taking entries twice does no harm, so the whole batch is sent again.
+      // Applying an entry twice is harmless, so the whole batch is sent again.
       queue.entries = [...batch, ...queue.entries];
     }
   }
 
-  /** A cut between two daemons alone must not keep entries from either. */
+  /**
+   * Pushes a batch through another member, in case only the direct path is
+   * down.
+   */
   private async pushThroughRelay(
     member: string,
     batch: FlowException[],
@@ -151,7 +156,7 @@
     return pushed.isOk();
   }
 
-  private pause(): Promise<void> {
+  private waitForBatch(): Promise<void> {
     const {clock} = this.options;
     return new Promise(resolve => {
       clock.callAt(clock.now() + BATCH_INTERVAL_MS, resolve);
