--- a/src/recovery/flow-coordinator.ts
+++ b/src/recovery/flow-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * One daemon's part in keeping flows: it joins routing, membership, the log of
- * changes and the moves of state, and knows the outside through ports alone.
+ * Coordinates one daemon's routing, membership, change log and flow entries.
+ * All input and output goes through ports.
  */
 import type {
   Change,
@@ -11,7 +11,7 @@
 import {FailureDetector} from '../membership/failure-detector.js';
 import {
   ReplicatedState,
-  type RevisionReader,
+  type RevisionParser,
 } from '../membership/replicated-state.js';
 import {MemberList} from '../membership/member-list.js';
 import {
@@ -36,7 +36,7 @@
   type StateScope,
 } from '../routing/router.js';
 import {EntryExchange} from './entry-exchange.js';
-import {FleetJoining} from './fleet-joining.js';
+import {FleetJoiner} from './fleet-joiner.js';
 import {planHandover} from './handover.js';
 import {PacketPath} from './packet-path.js';
 import {Replicator} from './replicator.js';
@@ -44,10 +44,9 @@
 const SWEEP_INTERVAL_MS = 1_000;
 const REBUILD_INTERVAL_MS = 30_000;
 const FLUSH_INTERVAL_MS = 50;
-/** Entries in one message of a pulled state. */
-const PULL_BATCH = 2_000;
+/** Maximum entries in one message of a pulled state. */
+const PULL_BATCH_ENTRIES = 2_000;
 
-/** What a coordinator is made from. */
 export interface FlowCoordinatorOptions {
   readonly self: Member;
   readonly clock: Clock;
@@ -56,14 +55,14 @@
   readonly timeline: Timeline;
   readonly peers: Peers;
   readonly backends: BackendServers;
-  /** Reads the document of a revision. */
-  readonly read: RevisionReader;
+  /** Parses the document of a revision; undefined when it is invalid. */
+  readonly read: RevisionParser;
   readonly maximumEntries: number;
   readonly scope?: StateScope;
   readonly placement?: RouterOptions['placement'];
 }
 
-/** The part of the peers' handlers that is about flows and members. */
+/** Peer handlers for flows and membership. */
 export type FlowHandlers = Omit<
   PeerHandlers,
   'onForward' | 'onKeepKeys' | 'onPullKeys'
@@ -77,9 +76,9 @@
   readonly replicatedState: ReplicatedState;
   readonly detector: FailureDetector;
   readonly replicator: Replicator;
-  private readonly packets: PacketPath;
-  private readonly exchange: EntryExchange;
-  private readonly joining: FleetJoining;
+  private readonly packetPath: PacketPath;
+  private readonly entryExchange: EntryExchange;
+  private readonly joiner: FleetJoiner;
   private ownership: Ownership;
   private readonly cleanups: (() => void)[] = [];
 
@@ -111,11 +110,13 @@
       peers,
       clock,
       hooks: {
-        onBehind: (peer, epoch) => void this.joining.pullChanges(peer, epoch),
-        onConfirmed: () => this.activate(),
-        onStranger: (id, address) => void this.joining.meet(id, address),
-        onDeclaredDead: () => void this.joining.rejoin(),
-        onContactRestored: () => this.askBackups(),
+        onUnstagedChanges: (peer, epoch) =>
+          void this.joiner.pullChanges(peer, epoch),
+        onConfirmed: () => this.activateStaged(),
+        onUnknownSender: (id, address) =>
+          void this.joiner.identifySender(id, address),
+        onDeclaredDead: () => void this.joiner.rejoin(),
+        onContactRestored: () => this.queryBackups(),
         loadToPublish: () => this.router.flowCounts.publish(),
         onLoad: load => this.router.flowCounts.receive(load),
       },
@@ -126,37 +127,39 @@
       addressOf: id => this.addressOf(id),
       relayFor: id => this.relayFor(id),
     });
-    this.packets = PacketPath.create({
+    this.packetPath = PacketPath.create({
       ...options,
       members: this.members,
       router: this.router,
     });
-    this.exchange = EntryExchange.create({
+    this.entryExchange = EntryExchange.create({
       ...options,
       self: self.id,
       router: this.router,
       replicator: this.replicator,
       ownership: () => this.ownership,
     });
-    this.joining = FleetJoining.create({
+    this.joiner = FleetJoiner.create({
       ...options,
       members: this.members,
       log: this.log,
       detector: this.detector,
       router: this.router,
-      learn: changes => this.learn(changes),
+      applyChanges: changes => this.learn(changes),
     });
     this.ownership = Ownership.create([], hasher);
-    this.members.onChange((member, before) => this.onMember(member, before));
-    this.useOwnership();
+    this.members.onChange((member, before) =>
+      this.onMemberChange(member, before),
+    );
+    this.updateOwnership();
   }
 
-  /** Creates a coordinator that has not joined yet. */
+  /** Creates a coordinator that has not joined the fleet. */
   static create(options: FlowCoordinatorOptions): FlowCoordinator {
     return new FlowCoordinator(options);
   }
 
-  /** Owners and backups by this daemon's view. */
+  /** Owners and backups of partitions by this daemon's view. */
   get currentOwnership(): Ownership {
     return this.ownership;
   }
@@ -166,15 +169,15 @@
     return ownsPartitions(this.members.self);
   }
 
-  /** What peers may ask of this daemon about flows and members. */
+  /** Returns the handlers of peer messages and calls. */
   handlers(): FlowHandlers {
     return {
-      onPassed: (_sender, passed) => this.packets.onPassed(passed),
+      onPassed: (_sender, passed) => this.packetPath.onPassed(passed),
       onHint: (_sender, hint) => this.router.onHint(hint),
       onProbe: (sender, probe, address) =>
         this.detector.onProbe(sender, probe, address),
       onExceptions: (sender, exceptions, target) =>
-        this.exchange.receive(sender, exceptions, target),
+        this.entryExchange.receive(sender, exceptions, target),
       onPullState: (_sender, partitions) =>
         inBatches(this.router.exceptionsOf(new Set(partitions))),
       onPullChanges: (_sender, epoch, after) => this.log.since(epoch, after),
@@ -182,90 +185,94 @@
     };
   }
 
-  /** Starts probing and the regular tasks. */
+  /** Starts the failure detector and the periodic tasks. */
   start(): void {
     const {clock} = this.options;
     this.cleanups.push(
       this.detector.start(),
-      repeat(clock, SWEEP_INTERVAL_MS, () => {
-        this.exchange.sweep();
+      runPeriodically(clock, SWEEP_INTERVAL_MS, () => {
+        this.entryExchange.sweep();
         this.router.sweep();
       }),
-      repeat(clock, REBUILD_INTERVAL_MS, () => this.router.rebuild()),
-      repeat(clock, FLUSH_INTERVAL_MS, () => {
-        this.exchange.flush();
-        this.activate();
+      runPeriodically(clock, REBUILD_INTERVAL_MS, () => this.router.rebuild()),
+      runPeriodically(clock, FLUSH_INTERVAL_MS, () => {
+        this.entryExchange.flush();
+        this.activateStaged();
       }),
     );
   }
 
   /**
-   * Joins the fleet: learns members and changes from the peers at the given
-   * addresses, fetches the state of the partitions to come, then owns them.
-   * Waits for a configuration; the owner of the daemon supplies one when no
-   * peer has it.
+   * Joins the fleet: pulls members and changes from the peers at the given
+   * addresses, then the entries of its future partitions, and takes ownership
+   * of these. Waits until a revision is staged; if no peer has one, the caller
+   * supplies it.
    */
   async join(addresses: readonly string[]): Promise<void> {
     await Promise.all(
-      addresses.map(address => this.joining.learnFrom(address)),
-    );
-    await this.joining.waitUntil(
-      () => this.replicatedState.staged.revision > 0,
+      addresses.map(address => this.joiner.pullMembersFrom(address)),
     );
-    await this.joining.becomeReady();
+    await this.joiner.waitUntil(() => this.replicatedState.staged.revision > 0);
+    await this.joiner.becomeReady();
     this.options.timeline.record(EventKind.READY, {
       revision: this.replicatedState.staged.revision,
     });
   }
 
-  /** Takes changes from the store or the platform and tells the peers. */
+  /**
+   * Applies changes from the store or the platform and announces them to peers.
+   */
   learn(changes: readonly Omit<Change, 'index'>[]): void {
     if (this.replicatedState.apply(changes)) {
       this.options.timeline.record(EventKind.REVISION_STAGED, {
         revision: this.replicatedState.staged.revision,
       });
       this.detector.announce();
-      this.activate();
+      this.activateStaged();
     }
   }
 
   /** Handles a packet from the fabric. */
   handle(packet: FabricPacket): void {
-    this.packets.handle(packet);
+    this.packetPath.handle(packet);
   }
 
   /**
-   * Gives the partitions away; resolves when the new holders have confirmed
-   * all entries, or at the deadline. Packets are handled until `stop`.
+   * Hands this daemon's partitions over. Resolves to true when the new holders
+   * have confirmed all entries, to false at the deadline. Packets are handled
+   * until `stop`.
    */
   async leave(deadline: number): Promise<boolean> {
-    this.members.moveSelf(MemberState.LEAVING);
+    this.members.setOwnState(MemberState.LEAVING);
     this.detector.announce();
     const {clock} = this.options;
-    // Peers ask this daemon for unknown flows until they own them for good.
+    // New owners query this daemon for unknown flows during this time.
     await this.pause(Math.min(deadline, clock.now() + FORMER_HOLDER_QUERY_MS));
     return this.settle(deadline);
   }
 
-  /** Resolves when peers have confirmed every entry; false at the deadline. */
+  /**
+   * Sends all changed entries; resolves to true when peers have confirmed every
+   * entry, to false at the deadline.
+   */
   settle(deadline: number): Promise<boolean> {
-    this.exchange.flush();
-    return this.replicator.settled(deadline);
+    this.entryExchange.flush();
+    return this.replicator.waitUntilIdle(deadline);
   }
 
-  /** Stops all tasks and says goodbye. */
+  /** Announces that this daemon has left and stops all tasks. */
   stop(): void {
-    this.members.moveSelf(MemberState.LEFT);
+    this.members.setOwnState(MemberState.LEFT);
     this.detector.announce();
     this.cleanups.forEach(cleanup => cleanup());
   }
 
-  private activate(): void {
+  private activateStaged(): void {
     const now = this.options.clock.now();
-    this.replicatedState.activateConfirmed(this.detector.peersInContact(), now);
+    this.replicatedState.activateConfirmed(this.detector.peersToConfirm(), now);
   }
 
-  private onMember(member: Member, before: Member | undefined): void {
+  private onMemberChange(member: Member, before: Member | undefined): void {
     this.options.timeline.record(EventKind.MEMBER_STATE, {
       member: member.id,
       state: MEMBER_STATE_NAMES[member.state],
@@ -283,8 +290,11 @@
     }
   }
 
-  /** The backups may have decided while this daemon did not run. */
-  private askBackups(): void {
+  /**
+   * Has unknown flows of owned partitions looked up at their backups, which may
+   * have placed them while this daemon was paused.
+   */
+  private queryBackups(): void {
     const self = this.members.self.id;
     const deadline = this.options.clock.now() + FORMER_HOLDER_QUERY_MS;
     this.ownership
@@ -298,25 +308,29 @@
       });
   }
 
-  /** Moves state after a change of the owners. */
+  /**
+   * Recomputes ownership after a change of the owners and moves flow entries.
+   */
   private changeOwnership(): void {
     const {clock, timeline} = this.options;
     const before = this.ownership;
-    this.exchange.flush();
-    this.useOwnership();
+    this.entryExchange.flush();
+    this.updateOwnership();
     const plan = planHandover({
       self: this.members.self.id,
       before,
       after: this.ownership,
       withoutSelf: this.ownershipWithoutSelf(),
-      runs: id => this.runs(id),
+      isRunning: id => this.isRunning(id),
     });
-    plan.transfers.forEach(transfer => this.exchange.transfer(transfer));
-    this.exchange.resendRecent(before);
-    plan.takeovers.forEach(({partition, formerHolders: predecessors}) =>
+    plan.transfers.forEach(transfer =>
+      this.entryExchange.sendPartitions(transfer),
+    );
+    this.entryExchange.resendRecent(before);
+    plan.takeovers.forEach(({partition, formerHolders}) =>
       this.router.formerHolders.use(
         partition,
-        predecessors,
+        formerHolders,
         clock.now() + FORMER_HOLDER_QUERY_MS,
       ),
     );
@@ -327,7 +341,7 @@
     });
   }
 
-  private useOwnership(): void {
+  private updateOwnership(): void {
     const owners = this.members.owners();
     this.ownership = Ownership.create(owners, this.options.hasher);
     this.router.useView({
@@ -348,7 +362,7 @@
     return Ownership.create(others, this.options.hasher);
   }
 
-  private runs(id: string): boolean {
+  private isRunning(id: string): boolean {
     const member = this.members.get(id);
     return member !== undefined && handlesPackets(member);
   }
@@ -365,7 +379,7 @@
   }
 
   private addressOf(id: string): string | undefined {
-    return this.runs(id) ? this.members.get(id)?.address : undefined;
+    return this.isRunning(id) ? this.members.get(id)?.address : undefined;
   }
 
   private memberMessage(): MemberListMessage {
@@ -383,14 +397,14 @@
 }
 
 function inBatches(entries: readonly FlowException[]): FlowException[][] {
-  const count = Math.ceil(entries.length / PULL_BATCH);
+  const count = Math.ceil(entries.length / PULL_BATCH_ENTRIES);
   return Array.from({length: count}, (_, index) =>
-    entries.slice(index * PULL_BATCH, (index + 1) * PULL_BATCH),
+    entries.slice(index * PULL_BATCH_ENTRIES, (index + 1) * PULL_BATCH_ENTRIES),
   );
 }
 
-/** Calls a task at an interval; the returned function stops it. */
-function repeat(
+/** Runs a task periodically; the returned function stops it. */
+function runPeriodically(
   clock: Clock,
   intervalMs: number,
   task: () => void,
--- a/src/recovery/handover.ts
+++ b/src/recovery/handover.ts
@@ -1,59 +1,67 @@
-/** Moves flow state when partitions change hands. */
+/** Plans which flow entries move when partitions change holders. */
 import {PARTITION_COUNT} from '../routing/flow-key.js';
 import type {Ownership} from '../routing/ownership.js';
 
-/** A set of partitions whose entries go to one member. */
+/** Partitions whose entries go to one member. */
 export interface PartitionTransfer {
   readonly receiver: string;
   readonly partitions: ReadonlySet<number>;
-  /** Every earlier holder is gone: what peers' answers left behind goes too. */
+  /**
+   * Whether cached answers of peers are sent too, because no former holder
+   * runs.
+   */
   readonly includeCached: boolean;
 }
 
-/** A partition that this daemon owns and whose state others may still have. */
+/**
+ * A partition that this daemon now owns and whose state others may still have.
+ */
 export interface PartitionTakeover {
   readonly partition: number;
-  /** Holders before, and those that hold it by views without this daemon. */
+  /** Holders before the change, and holders by views that lack this daemon. */
   readonly formerHolders: readonly string[];
 }
 
-/** What a change of ownership asks of one daemon. */
+/** What one daemon does after a change of ownership. */
 export interface HandoverPlan {
   readonly transfers: readonly PartitionTransfer[];
   readonly takeovers: readonly PartitionTakeover[];
 }
 
-/** What the plan depends on. */
+/** Input of the plan. */
 export interface HandoverContext {
   readonly self: string;
   readonly before: Ownership;
   readonly after: Ownership;
-  /** The ownership among the members after, this daemon left out. */
+  /** Ownership among the members after the change, without this daemon. */
   readonly withoutSelf: Ownership;
-  /** Whether a member runs, leaving ones included. */
-  runs(member: string): boolean;
+  /** Whether a member handles packets; includes leaving members. */
+  isRunning(member: string): boolean;
 }
 
 const PARTITIONS = Array.from({length: PARTITION_COUNT}, (_, index) => index);
 
-/** Plans the moves of one daemon; every daemon plans its own. */
+/** Plans the moves of one daemon; each daemon plans its own. */
 export function planHandover(context: HandoverContext): HandoverPlan {
   return {
     transfers: planTransfers(context),
     takeovers: PARTITIONS.flatMap(partition =>
-      planAdoption(partition, context),
+      planTakeover(partition, context),
     ),
   };
 }
 
-/** Groups the partitions to send by receiver and by how much is sent. */
+/**
+ * Groups the partitions to send by receiver and by whether cached answers are
+ * included.
+ */
 function planTransfers(context: HandoverContext): PartitionTransfer[] {
   const groups = new Map<
     string,
     PartitionTransfer & {partitions: Set<number>}
   >();
   PARTITIONS.forEach(partition => {
-    const includeCached = hasNoHolderLeft(partition, context);
+    const includeCached = hasLostAllHolders(partition, context);
     if (!includeCached && !isSender(partition, context)) {
       return;
     }
@@ -79,37 +87,42 @@
     .filter(holder => !before.includes(holder) && holder !== context.self);
 }
 
-/** The first earlier holder that runs is the one that sends. */
+/** Whether this daemon is the first former holder that still runs. */
 function isSender(partition: number, context: HandoverContext): boolean {
   return (
-    context.before.holdersOf(partition).find(id => context.runs(id)) ===
+    context.before.holdersOf(partition).find(id => context.isRunning(id)) ===
     context.self
   );
 }
 
-function hasNoHolderLeft(partition: number, context: HandoverContext): boolean {
+function hasLostAllHolders(
+  partition: number,
+  context: HandoverContext,
+): boolean {
   const before = context.before.holdersOf(partition);
-  return before.length > 0 && !before.some(id => context.runs(id));
+  return before.length > 0 && !before.some(id => context.isRunning(id));
 }
 
 /**
- * Another daemon that joined a moment ago may have owned the partition by the
- * views of some, unknown to this daemon until now; so it is asked as well.
+ * Plans the takeover of a partition. Another daemon that joined recently may
+ * own it by views that lack this daemon, so the holders by such a view are
+ * queried too.
  */
-function planAdoption(
+function planTakeover(
   partition: number,
   context: HandoverContext,
 ): PartitionTakeover[] {
   const {self, before, after, withoutSelf} = context;
-  const earlier = before.holdersOf(partition);
-  const rivals = withoutSelf.holdersOf(partition);
-  const predecessors = [...new Set([...earlier, ...rivals])].filter(
-    id => id !== self && context.runs(id),
-  );
-  const adopts =
+  const holdersBefore = before.holdersOf(partition);
+  const holdersWithoutSelf = withoutSelf.holdersOf(partition);
+  const formerHolders = [
+    ...new Set([...holdersBefore, ...holdersWithoutSelf]),
+  ].filter(id => id !== self && context.isRunning(id));
+  const takesOver =
     after.ownerOf(partition) === self &&
-    (!earlier.includes(self) || rivals.some(id => !earlier.includes(id)));
-  return adopts && predecessors.length > 0
-    ? [{partition, formerHolders: predecessors}]
+    (!holdersBefore.includes(self) ||
+      holdersWithoutSelf.some(id => !holdersBefore.includes(id)));
+  return takesOver && formerHolders.length > 0
+    ? [{partition, formerHolders}]
     : [];
 }
--- a/src/recovery/packet-path.ts
+++ b/src/recovery/packet-path.ts
@@ -1,4 +1,7 @@
-/** What one daemon does with each packet: route it, hand it on, pass it on. */
+/**
+ * Routes each packet and forwards it to a backend server, passes it to a peer
+ * or drops it.
+ */
 import {
   PacketHeader,
   type Hint,
@@ -22,7 +25,6 @@
 import type {FlowKey} from '../routing/flow-key.js';
 import type {Router} from '../routing/router.js';
 
-/** What a packet path is made from. */
 export interface PacketPathOptions {
   readonly members: MemberList;
   readonly router: Router;
@@ -31,11 +33,10 @@
   readonly counters: Counters;
 }
 
-/** Packets from the fabric and from peers; runs for every packet. */
+/** Handles packets from the fabric and from peers. */
 export class PacketPath {
   private constructor(private readonly options: PacketPathOptions) {}
 
-  /** Creates the path. */
   static create(options: PacketPathOptions): PacketPath {
     return new PacketPath(options);
   }
@@ -43,10 +44,10 @@
   /** Handles a packet from the fabric. */
   handle(packet: FabricPacket): void {
     const decision = this.options.router.route(packet.packet, FROM_FABRIC);
-    this.carryOut(decision, packet, FROM_FABRIC, this.options.members.self.id);
+    this.execute(decision, packet, FROM_FABRIC, this.options.members.self.id);
   }
 
-  /** Handles a packet that a peer passed on. */
+  /** Handles a packet passed by a peer. */
   onPassed(passed: PassedPacket): void {
     const packet = decodePassed(passed);
     if (packet === undefined) {
@@ -58,34 +59,38 @@
     const decision = this.options.router.route(packet, arrival);
     const bytes = passed.packet;
     this.options.counters.add(Metric.PACKETS_DECIDED_FOR_PEER);
-    this.carryOut(decision, {packet, bytes}, arrival, passed.entry);
+    this.execute(decision, {packet, bytes}, arrival, passed.entry);
   }
 
-  private carryOut(
+  private execute(
     decision: Decision,
     packet: FabricPacket,
     arrival: Arrival,
-    entry: string,
+    ingress: string,
   ): void {
-    // This runs for every packet, where pattern matching costs too much.
+    // Plain branches: pattern matching is too slow for every packet.
     if (decision.kind === DecisionKind.FORWARD) {
-      this.forward(decision, packet, entry);
+      this.forward(decision, packet, ingress);
     } else if (decision.kind === DecisionKind.PASS) {
-      this.pass(decision, packet.bytes, arrival.hops + 1, entry);
+      this.pass(decision, packet.bytes, arrival.hops + 1, ingress);
     } else {
-      this.drop(decision);
+      this.countDrop(decision);
     }
   }
 
-  private forward(forward: Forward, packet: FabricPacket, entry: string): void {
+  private forward(
+    forward: Forward,
+    packet: FabricPacket,
+    ingress: string,
+  ): void {
     this.options.counters.add(Metric.PACKETS_FORWARDED);
     this.options.backends.send(forward.server, packet.bytes);
     if (forward.remember !== undefined) {
-      this.sendHint(forward.server, forward.remember, packet.packet, entry);
+      this.sendHint(forward.server, forward.remember, packet.packet, ingress);
     }
   }
 
-  private drop({reason}: Drop): void {
+  private countDrop({reason}: Drop): void {
     this.options.counters.add(
       reason === DropReason.UNKNOWN_ADDRESS
         ? Metric.PACKETS_UNKNOWN_ADDRESS
@@ -97,7 +102,7 @@
     pass: Pass,
     bytes: Uint8Array,
     hops: number,
-    entry: string,
+    ingress: string,
   ): void {
     this.options.counters.add(Metric.PACKETS_PASSED);
     const address = this.options.members.get(pass.member)?.address;
@@ -111,7 +116,7 @@
       this.options.peers.pass(address, {
         hops,
         decide,
-        entry,
+        entry: ingress,
         packet,
         chain: [...chain],
       });
@@ -122,9 +127,9 @@
     server: string,
     key: FlowKey,
     packet: PacketHeader,
-    entry: string,
+    ingress: string,
   ): void {
-    const address = this.options.members.get(entry)?.address;
+    const address = this.options.members.get(ingress)?.address;
     if (address !== undefined) {
       const hint: Hint = {
         keyHigh: key.high,
