--- a/src/admission/dispatcher.ts
+++ b/src/admission/dispatcher.ts
@@ -1,6 +1,8 @@
 /**
- * Admission of one pool's requests: a request waits here, not at a server,
- * until a slot is believed free.
+ * Dispatches the requests of one server pool. A request is queued in the
+ * daemon, not at a server, until a slot is estimated to be free. Requests that
+ * no server started are retried; repeatable ones are also retried after a
+ * failure and hedged when slow, within a retry budget.
  */
 import {match} from 'ts-pattern';
 import type {RunReply} from '../generated/request.js';
@@ -8,77 +10,81 @@
 import type {Clock, Timer} from '../ports/clock.js';
 import {Metric, type Counters} from '../ports/counters.js';
 import type {Hasher} from '../ports/hasher.js';
-import {OutcomeReason, ended, type Outcome} from './outcome.js';
+import {OutcomeReason, createOutcome, type Outcome} from './outcome.js';
 import {RequestQueue} from './request-queue.js';
 import {RetryBudget} from './retry-budget.js';
 import {SlotEstimates} from './slot-estimates.js';
 
-/** Weight of the newest sample in the mean service time. */
-const MEAN_GAIN = 0.1;
-const FIRST_MEAN_MS = 50;
-/** Mean service times after which a second try is made. */
-const HEDGE_AFTER_MEANS = 4;
-/** Mean service times after which a full own slot is tried again. */
-const OWN_PAUSE_MEANS = 0.7;
-const SHORTEST_RETRY_AFTER_MS = 100;
+/** Weight of the newest sample in the moving average of the service time. */
+const SERVICE_TIME_EWMA_WEIGHT = 0.1;
+const INITIAL_SERVICE_TIME_MS = 50;
+/** Delay before a hedged attempt, in mean service times. */
+const HEDGE_DELAY_FACTOR = 4;
+/** Backoff of an assigned slot after a refusal, in mean service times. */
+const REFUSAL_BACKOFF_FACTOR = 0.7;
+const MIN_RETRY_AFTER_MS = 100;
 
-/** A request as the dispatcher gets it. */
+/** A request to be run on one server of the pool. */
 export interface AdmittedRequest {
   readonly workspace: string;
   readonly service: string;
   readonly key: string;
   readonly body: Uint8Array;
+  /** Whether it may run more than once. */
   readonly repeatable: boolean;
   /** Monotonic milliseconds. */
   readonly deadline: number;
   /**
-   * Latest time at which a server may start it, asked for right before each
-   * dispatch; undefined when it may not be started any more.
+   * Returns the latest time at which a server may start the request, in
+   * monotonic milliseconds, or undefined when it may no longer be started.
+   * Called once per attempt, after a slot was acquired.
    */
   startDeadline(): number | undefined;
 }
 
-/** What a dispatcher is made from. */
+/** Options of a dispatcher. */
 export interface DispatcherOptions {
   readonly self: string;
   readonly clock: Clock;
   readonly hasher: Hasher;
   readonly counters: Counters;
   readonly backends: BackendServers;
-  /** Requests that may wait, a workspace. */
+  /** Maximum number of queued requests per workspace. */
   readonly queueBound: number;
-  /** Repeats as a share of first tries. */
+  /** Retries and hedged attempts allowed per request, 0 to 1. */
   readonly retryShare: number;
 }
 
-/** A request that waits for a slot. */
+/** A queued request that waits for a slot. */
 interface WaitingRequest {
   readonly workspace: string;
   readonly deadline: number;
   readonly excluded: ReadonlySet<string>;
+  /** Completes the wait; undefined when the deadline passed without a slot. */
   grant(server: string | undefined): void;
 }
 
-/** How one try ended. */
-type Try =
+/** Result of one attempt at one server. */
+type AttemptResult =
   | {readonly kind: 'answered'; readonly body: Uint8Array}
   | {readonly kind: 'not-started'; readonly server: string}
   | {readonly kind: 'unknown'; readonly reason: OutcomeReason};
 
-/** Runs the requests of one pool. */
+/** Queues the requests of one pool and runs them on its servers. */
 export class Dispatcher {
   readonly slotEstimates: SlotEstimates;
   private readonly queue: RequestQueue<WaitingRequest>;
-  private readonly budget: RetryBudget;
-  private meanMs = FIRST_MEAN_MS;
-  private timer: Timer | undefined;
-  private attempts = 0;
+  private readonly retryBudget: RetryBudget;
+  /** Exponentially weighted moving average. */
+  private serviceTimeMs = INITIAL_SERVICE_TIME_MS;
+  private assignmentTimer: Timer | undefined;
+  private attemptCount = 0;
   private running = 0;
 
   private constructor(private readonly options: DispatcherOptions) {
     this.slotEstimates = SlotEstimates.create(options);
     this.queue = RequestQueue.create(options.queueBound);
-    this.budget = RetryBudget.create(options.retryShare);
+    this.retryBudget = RetryBudget.create(options.retryShare);
   }
 
   /** Creates a dispatcher without servers. */
@@ -86,123 +92,140 @@
     return new Dispatcher(options);
   }
 
-  /** Requests waiting or at a server. */
+  /** Number of requests that are queued or at a server. */
   get inFlight(): number {
     return this.running;
   }
 
-  /** Takes the servers in use and the daemons that share them. */
+  /** Sets the eligible servers and the daemons that share their slots. */
   useServers(
     servers: readonly {id: string; slots: number}[],
     daemons: readonly string[],
   ): void {
-    this.slotEstimates.use(servers, daemons);
-    this.pump();
+    this.slotEstimates.setServers(servers, daemons);
+    this.assignFreeSlots();
   }
 
-  /** Runs a request to its end. */
+  /** Runs a request and returns its final outcome. */
   async run(request: AdmittedRequest): Promise<Outcome> {
-    const refusal = this.refuseEarly(request);
-    if (refusal !== undefined) {
-      return refusal;
+    const rejection = this.rejectEarly(request);
+    if (rejection !== undefined) {
+      return rejection;
     }
     this.running += 1;
-    this.budget.earn();
-    const outcome = await this.tryUntilEnd(request, new Set());
+    this.retryBudget.earn();
+    const outcome = await this.runWithRetries(request, new Set());
     this.running -= 1;
     return outcome;
   }
 
-  private refuseEarly(request: AdmittedRequest): Outcome | undefined {
+  /** Rejects a request that has no server or cannot meet its deadline. */
+  private rejectEarly(request: AdmittedRequest): Outcome | undefined {
     if (this.slotEstimates.totalSlots === 0) {
-      return ended(OutcomeReason.NO_SERVER, SHORTEST_RETRY_AFTER_MS);
+      return createOutcome(OutcomeReason.NO_SERVER, MIN_RETRY_AFTER_MS);
     }
-    const waitMs = this.expectedWaitMs(request.workspace);
+    const waitMs = this.estimateWaitMs(request.workspace);
     const timeLeft = request.deadline - this.options.clock.now();
-    return waitMs + this.meanMs > timeLeft
-      ? ended(OutcomeReason.DEADLINE_CANNOT_BE_MET, this.retryAfterMs(waitMs))
+    return waitMs + this.serviceTimeMs > timeLeft
+      ? createOutcome(
+          OutcomeReason.DEADLINE_CANNOT_BE_MET,
+          this.computeRetryAfterMs(waitMs),
+        )
       : undefined;
   }
 
-  /** Time until a request of the workspace gets a slot, by its turn. */
-  private expectedWaitMs(workspace: string): number {
-    const others = Math.max(0, this.queue.workspaces - 1);
-    const ahead = this.queue.sizeOf(workspace) * (others + 1);
-    const before = Math.min(this.queue.size, ahead);
-    const slots = Math.max(1, this.slotEstimates.ownSlots);
-    return (before * this.meanMs) / slots;
+  /**
+   * Estimates how long a new request of the workspace waits for a slot, given
+   * that workspaces are served round-robin.
+   */
+  private estimateWaitMs(workspace: string): number {
+    const otherWorkspaces = Math.max(0, this.queue.workspaces - 1);
+    const aheadAtMost = this.queue.sizeOf(workspace) * (otherWorkspaces + 1);
+    const ahead = Math.min(this.queue.size, aheadAtMost);
+    const slots = Math.max(1, this.slotEstimates.assignedSlots);
+    return (ahead * this.serviceTimeMs) / slots;
   }
 
-  private retryAfterMs(waitMs: number): number {
-    return Math.max(SHORTEST_RETRY_AFTER_MS, waitMs);
+  private computeRetryAfterMs(waitMs: number): number {
+    return Math.max(MIN_RETRY_AFTER_MS, waitMs);
   }
 
-  /** Tries servers one after the other until one answers or none may. */
-  private async tryUntilEnd(
+  /** Makes one attempt after another until the outcome is final. */
+  private async runWithRetries(
     request: AdmittedRequest,
     excluded: ReadonlySet<string>,
   ): Promise<Outcome> {
-    const server = await this.slotFor(request, excluded);
+    const server = await this.acquireSlot(request, excluded);
     if (typeof server !== 'string') {
       return server;
     }
     const startDeadline = request.startDeadline();
     if (startDeadline === undefined) {
       this.slotEstimates.release(server);
-      return ended(OutcomeReason.KEY_RANGE_NOT_HELD, SHORTEST_RETRY_AFTER_MS);
+      return createOutcome(
+        OutcomeReason.KEY_RANGE_NOT_HELD,
+        MIN_RETRY_AFTER_MS,
+      );
     }
-    const tried = await this.tryHedged(request, server, startDeadline);
-    return match(tried)
+    const result = await this.sendWithHedge(request, server, startDeadline);
+    return match(result)
       .with({kind: 'answered'}, ({body}) => ({
-        ...ended(OutcomeReason.ANSWERED),
+        ...createOutcome(OutcomeReason.ANSWERED),
         body,
       }))
-      .with({kind: 'not-started'}, refused =>
-        this.repeat(request, excluded, refused.server),
+      .with({kind: 'not-started'}, rejected =>
+        this.retryNotStarted(request, excluded, rejected.server),
       )
       .with({kind: 'unknown'}, ({reason}) =>
-        this.repeatUnknown(request, excluded, server, reason),
+        this.retryUnknown(request, excluded, server, reason),
       )
       .exhaustive();
   }
 
   /**
-   * The server surely did not start the request, so any may be tried. With an
-   * empty budget nothing is borrowed any more, and refusals cease.
+   * Retries a request that the server did not start, which is always safe. The
+   * retry is charged even to an empty budget: an empty budget stops borrowing,
+   * which is what causes refusals.
    */
-  private repeat(
+  private retryNotStarted(
     request: AdmittedRequest,
     excluded: ReadonlySet<string>,
     server: string,
   ): Promise<Outcome> {
-    this.budget.charge();
+    this.retryBudget.charge();
     this.options.counters.add(Metric.REQUESTS_RETRIED);
-    return this.tryUntilEnd(request, new Set([...excluded, server]));
+    return this.runWithRetries(request, new Set([...excluded, server]));
   }
 
-  /** The server may have started it: only a repeatable one is tried again. */
-  private repeatUnknown(
+  /** Retries a request that the server may have run, if it is repeatable. */
+  private retryUnknown(
     request: AdmittedRequest,
     excluded: ReadonlySet<string>,
     server: string,
     reason: OutcomeReason,
   ): Promise<Outcome> {
-    const late = request.deadline <= this.options.clock.now();
-    return !request.repeatable || late || !this.budget.spend()
-      ? Promise.resolve(ended(reason))
-      : this.tryUntilEnd(request, new Set([...excluded, server]));
+    const isExpired = request.deadline <= this.options.clock.now();
+    return !request.repeatable || isExpired || !this.retryBudget.spend()
+      ? Promise.resolve(createOutcome(reason))
+      : this.runWithRetries(request, new Set([...excluded, server]));
   }
 
-  /** Waits for a slot; the outcome instead when there is none in time. */
-  private async slotFor(
+  /**
+   * Returns the server whose slot was acquired, or the outcome when the queue
+   * is full or no slot is free in time.
+   */
+  private async acquireSlot(
     request: AdmittedRequest,
     excluded: ReadonlySet<string>,
   ): Promise<string | Outcome> {
-    const usable = this.slotEstimates.hasOther(excluded)
+    const usable = this.slotEstimates.hasServerOutside(excluded)
       ? excluded
       : new Set<string>();
     if (this.queue.size === 0) {
-      const server = this.slotEstimates.take(usable, this.budget.isOpen);
+      const server = this.slotEstimates.acquire(
+        usable,
+        this.retryBudget.isOpen,
+      );
       if (server !== undefined) {
         return server;
       }
@@ -210,45 +233,51 @@
     const {workspace, deadline} = request;
     const {clock} = this.options;
     const server = await new Promise<string | undefined | 'full'>(resolve => {
-      const waiting: WaitingRequest = {
+      const waiter: WaitingRequest = {
         workspace,
-        // A slot in the last moment would be of no use.
-        deadline: deadline - this.meanMs,
+        // Leaves time to run the request once it has a slot.
+        deadline: deadline - this.serviceTimeMs,
         excluded: usable,
         grant: resolve,
       };
-      if (!this.queue.add(waiting)) {
+      if (!this.queue.add(waiter)) {
         resolve('full');
         return;
       }
-      clock.callAt(waiting.deadline, () => {
-        if (this.queue.remove(waiting)) {
+      clock.callAt(waiter.deadline, () => {
+        if (this.queue.remove(waiter)) {
           resolve(undefined);
         }
       });
-      this.pump();
+      this.assignFreeSlots();
     });
     return match(server)
       .with('full', () =>
-        ended(OutcomeReason.QUEUE_FULL, this.retryAfterMs(this.meanMs)),
+        createOutcome(
+          OutcomeReason.QUEUE_FULL,
+          this.computeRetryAfterMs(this.serviceTimeMs),
+        ),
       )
       .with(undefined, () =>
-        ended(
+        createOutcome(
           OutcomeReason.NO_SLOT_BEFORE_DEADLINE,
-          this.retryAfterMs(this.expectedWaitMs(workspace)),
+          this.computeRetryAfterMs(this.estimateWaitMs(workspace)),
         ),
       )
       .otherwise(granted => granted);
   }
 
-  /** Gives free slots to waiting requests. */
-  private pump(): void {
-    this.timer?.cancel();
-    this.timer = undefined;
+  /** Grants free slots to queued requests until one of the two runs out. */
+  private assignFreeSlots(): void {
+    this.assignmentTimer?.cancel();
+    this.assignmentTimer = undefined;
     while (this.queue.size > 0) {
-      const server = this.slotEstimates.take(new Set(), this.budget.isOpen);
+      const server = this.slotEstimates.acquire(
+        new Set(),
+        this.retryBudget.isOpen,
+      );
       if (server === undefined) {
-        this.pumpLater();
+        this.scheduleAssignment();
         return;
       }
       const next = this.queue.take();
@@ -256,35 +285,35 @@
     }
   }
 
-  private pumpLater(): void {
-    this.timer = this.options.clock.callAt(
-      this.slotEstimates.nextChance(),
-      () => this.pump(),
+  private scheduleAssignment(): void {
+    this.assignmentTimer = this.options.clock.callAt(
+      this.slotEstimates.nextRetryTime(),
+      () => this.assignFreeSlots(),
     );
   }
 
-  /** One try, with a second one beside it when a repeatable one is slow. */
-  private tryHedged(
+  /** Makes an attempt, and a hedged one if a repeatable request is slow. */
+  private sendWithHedge(
     request: AdmittedRequest,
     server: string,
     startDeadline: number,
-  ): Promise<Try> {
+  ): Promise<AttemptResult> {
     const cancels: (() => void)[] = [];
-    const first = this.tryOnce(request, server, startDeadline, cancels);
+    const first = this.sendAttempt(request, server, startDeadline, cancels);
     if (!request.repeatable) {
       return first;
     }
     const {clock} = this.options;
-    const hedge = new Promise<Try>(resolve => {
+    const hedge = new Promise<AttemptResult>(resolve => {
       const timer = clock.callAt(
-        clock.now() + this.meanMs * HEDGE_AFTER_MEANS,
+        clock.now() + this.serviceTimeMs * HEDGE_DELAY_FACTOR,
         () => {
-          const other = this.hedgeServer(server);
+          const other = this.acquireHedgeSlot(server);
           if (other !== undefined) {
-            void this.tryOnce(request, other, startDeadline, cancels).then(
-              tried => {
-                if (tried.kind === 'answered') {
-                  resolve(tried);
+            void this.sendAttempt(request, other, startDeadline, cancels).then(
+              result => {
+                if (result.kind === 'answered') {
+                  resolve(result);
                 }
               },
             );
@@ -293,30 +322,31 @@
       );
       void first.then(() => timer.cancel());
     });
-    return Promise.race([first, hedge]).then(tried => {
+    return Promise.race([first, hedge]).then(result => {
       cancels.forEach(cancel => cancel());
-      return tried;
+      return result;
     });
   }
 
-  private hedgeServer(first: string): string | undefined {
-    if (this.queue.size > 0 || !this.budget.spend()) {
+  /** Returns undefined when requests are queued or the budget is spent. */
+  private acquireHedgeSlot(first: string): string | undefined {
+    if (this.queue.size > 0 || !this.retryBudget.spend()) {
       return undefined;
     }
-    return this.slotEstimates.take(new Set([first]), true);
+    return this.slotEstimates.acquire(new Set([first]), true);
   }
 
-  private async tryOnce(
+  private async sendAttempt(
     request: AdmittedRequest,
     server: string,
     startDeadline: number,
     cancels: (() => void)[],
-  ): Promise<Try> {
+  ): Promise<AttemptResult> {
     const {backends, clock} = this.options;
     const startedMs = clock.now();
-    this.attempts += 1;
-    const attempt = this.attempts;
-    const result = await backends.run(
+    this.attemptCount += 1;
+    const attempt = this.attemptCount;
+    const response = await backends.run(
       server,
       {
         workspace: request.workspace,
@@ -328,38 +358,45 @@
           Math.floor(Math.min(request.deadline, startDeadline) - startedMs),
         ),
         body: Buffer.from(request.body),
-        startByMs: this.startBy(request, startDeadline),
+        startByMs: this.computeStartByMs(request, startDeadline),
       },
       request.deadline,
       cancel => cancels.push(cancel),
     );
-    const tried = result.match(
-      reply => this.judge(request, server, attempt, reply),
-      failure => this.judgeFailure(server, failure),
+    const result = response.match(
+      reply => this.classifyReply(request, server, attempt, reply),
+      failure => this.classifyFailure(server, failure),
     );
-    if (tried.kind === 'answered') {
+    if (result.kind === 'answered') {
       const sample = clock.now() - startedMs;
-      this.meanMs += (sample - this.meanMs) * MEAN_GAIN;
+      this.serviceTimeMs +=
+        (sample - this.serviceTimeMs) * SERVICE_TIME_EWMA_WEIGHT;
     }
-    this.pump();
-    return tried;
+    this.assignFreeSlots();
+    return result;
   }
 
-  /** Wall time after which the server must refuse to start it. */
-  private startBy(request: AdmittedRequest, startDeadline: number): number {
+  /** Returns the wall time after which the server must refuse to start. */
+  private computeStartByMs(
+    request: AdmittedRequest,
+    startDeadline: number,
+  ): number {
     const {clock} = this.options;
     const deadline = Math.min(request.deadline, startDeadline);
     return Math.floor(clock.wall() + deadline - clock.now());
   }
 
-  private judge(
+  private classifyReply(
     request: AdmittedRequest,
     server: string,
     attempt: number,
     reply: RunReply,
-  ): Try {
+  ): AttemptResult {
     if (!reply.started) {
-      this.slotEstimates.refuse(server, this.meanMs * OWN_PAUSE_MEANS);
+      this.slotEstimates.recordRefusal(
+        server,
+        this.serviceTimeMs * REFUSAL_BACKOFF_FACTOR,
+      );
       return {kind: 'not-started', server};
     }
     this.slotEstimates.release(server, reply.busySlots);
@@ -371,13 +408,16 @@
       : {kind: 'unknown', reason: OutcomeReason.PARTIAL_ANSWER};
   }
 
-  private judgeFailure(server: string, failure: BackendFailure): Try {
+  private classifyFailure(
+    server: string,
+    failure: BackendFailure,
+  ): AttemptResult {
     return match(failure)
-      .with({type: 'BackendUnreachable'}, (): Try => {
-        this.slotEstimates.avoid(server);
+      .with({type: 'BackendUnreachable'}, (): AttemptResult => {
+        this.slotEstimates.recordUnreachable(server);
         return {kind: 'not-started', server};
       })
-      .with({type: 'BackendSilent'}, (): Try => {
+      .with({type: 'BackendSilent'}, (): AttemptResult => {
         this.slotEstimates.release(server);
         return {kind: 'unknown', reason: OutcomeReason.SERVER_SILENT};
       })
--- a/src/admission/idempotency-keys.ts
+++ b/src/admission/idempotency-keys.ts
@@ -1,93 +1,96 @@
 /**
- * What is remembered of request keys that may not run twice.
- *
- * A key is remembered from before its dispatch until `REMEMBER_MS` after; a
- * resend in that time gets the same answer, or "unknown".
+ * In-memory records of the idempotency keys of one key range. A key is recorded
+ * before its request is dispatched and kept for `KEY_RETENTION_MS` after the
+ * last update, so that a resend gets the same answer or the status UNKNOWN.
  */
 import type {KeyRecord} from '../generated/peer.js';
 import type {CallerReply} from '../generated/request.js';
 import type {Clock} from '../ports/clock.js';
 
-/** Time for which a key is remembered, in milliseconds. */
 export const KEY_RETENTION_MS = 10 * 60_000;
 
-/** What is known of one key. */
+/** The record of one key. */
 export interface IdempotencyRecord {
-  /** Undefined: the request was let through and its outcome is not known. */
+  /** Undefined while the request runs, or when its outcome is unknown. */
   readonly reply: CallerReply | undefined;
-  /** Monotonic milliseconds. */
+  /** End of the retention period, in monotonic milliseconds. */
   readonly deadline: number;
 }
 
-/** The keys of one range; the oldest expire first. */
+/** Stores the records of one key range, limited in number. */
 export class IdempotencyKeys {
-  private readonly keys = new Map<string, IdempotencyRecord>();
+  private readonly recordsByKey = new Map<string, IdempotencyRecord>();
 
   private constructor(
     private readonly clock: Clock,
-    private readonly bound: number,
+    private readonly capacity: number,
   ) {}
 
-  /** Creates an empty memory for at most `bound` keys. */
-  static create(clock: Clock, bound: number): IdempotencyKeys {
-    return new IdempotencyKeys(clock, bound);
+  /** Creates an empty store for at most `capacity` keys. */
+  static create(clock: Clock, capacity: number): IdempotencyKeys {
+    return new IdempotencyKeys(clock, capacity);
   }
 
-  /** Keys remembered, expired ones included. */
+  /** Number of records, expired ones included. */
   get size(): number {
-    return this.keys.size;
+    return this.recordsByKey.size;
   }
 
-  /** Whether another key fits; expired keys are removed first. */
+  /** Whether there is room for another key once expired ones are removed. */
   hasRoom(): boolean {
-    this.expire();
-    return this.keys.size < this.bound;
+    this.removeExpired();
+    return this.recordsByKey.size < this.capacity;
   }
 
-  /** What is known of a key. */
+  /** Returns the record of a key; undefined when there is none or it expired. */
   get(key: string): IdempotencyRecord | undefined {
-    const known = this.keys.get(key);
+    const known = this.recordsByKey.get(key);
     return known === undefined || known.deadline <= this.clock.now()
       ? undefined
       : known;
   }
 
-  /** Remembers a key; without a reply its outcome is not known. */
+  /** Records a key and restarts its retention period. */
   set(key: string, reply: CallerReply | undefined): void {
     this.put(key, reply, this.clock.now() + KEY_RETENTION_MS);
   }
 
-  /** Forgets a key whose request surely did not run. */
-  free(key: string): void {
-    this.keys.delete(key);
+  /** Removes a key whose request did not run. */
+  remove(key: string): void {
+    this.recordsByKey.delete(key);
   }
 
-  /** All keys, for another holder. */
+  /** Returns all records, for replication to another daemon. */
   records(): KeyRecord[] {
-    this.expire();
-    return [...this.keys].map(([key, known]) => this.recordOf(key, known));
+    this.removeExpired();
+    return [...this.recordsByKey].map(([key, known]) =>
+      this.toKeyRecord(key, known),
+    );
   }
 
-  /** Takes what another holder knows; an outcome replaces a missing one. */
+  /**
+   * Merges records of another daemon and returns how many there were. A record
+   * without a reply keeps a reply that is known here.
+   */
   merge(records: readonly KeyRecord[]): number {
     records.forEach(record => {
       if (record.freed) {
-        this.free(record.key);
+        this.remove(record.key);
         return;
       }
       const deadline = this.clock.now() + record.secondsLeft * 1_000;
-      const known = this.get(record.key)?.reply;
-      this.put(record.key, record.reply ?? known, deadline);
+      const knownReply = this.get(record.key)?.reply;
+      this.put(record.key, record.reply ?? knownReply, deadline);
     });
     return records.length;
   }
 
-  private recordOf(key: string, known: IdempotencyRecord): KeyRecord {
-    const left = known.deadline - this.clock.now();
+  private toKeyRecord(key: string, known: IdempotencyRecord): KeyRecord {
+    const remainingMs = known.deadline - this.clock.now();
     return {
       key,
       reply: known.reply,
-      secondsLeft: Math.ceil(Math.max(0, left) / 1_000),
+      secondsLeft: Math.ceil(Math.max(0, remainingMs) / 1_000),
       freed: false,
     };
   }
@@ -97,20 +100,23 @@
     reply: CallerReply | undefined,
     deadline: number,
   ): void {
-    this.keys.delete(key);
-    this.keys.set(key, {reply, deadline});
+    this.recordsByKey.delete(key);
+    this.recordsByKey.set(key, {reply, deadline});
   }
 
-  /** Keys are in the order of their deadlines, save for merged ones. */
-  private expire(): void {
+  /**
+   * Removes records from the oldest one up to the first that has not expired.
+   * Merged records may be out of order and are then removed later.
+   */
+  private removeExpired(): void {
     const now = this.clock.now();
-    const firstKept = [...this.keys].findIndex(
+    const firstRetained = [...this.recordsByKey].findIndex(
       ([, {deadline}]) => deadline > now,
     );
-    const expired = [...this.keys.keys()].slice(
+    const expired = [...this.recordsByKey.keys()].slice(
       0,
-      firstKept < 0 ? this.keys.size : firstKept,
+      firstRetained < 0 ? this.recordsByKey.size : firstRetained,
     );
-    expired.forEach(key => this.keys.delete(key));
+    expired.forEach(key => this.recordsByKey.delete(key));
   }
 }
--- a/src/admission/key-guard.ts
+++ b/src/admission/key-guard.ts
@@ -1,23 +1,23 @@
-/** Ways to let each request key run at most once. */
+/** Interface of the mechanisms that run each idempotency key at most once. */
 import type {Outcome} from './outcome.js';
 
-/** A request whose key may run once. */
+/** A request that may run once per key. */
 export interface GuardedRequest {
-  /** Workspace, service and the caller's key, as one text. */
+  /** Workspace, service and the caller's key, joined by "/". */
   readonly key: string;
-  /** Wall milliseconds at which the caller made the key. */
+  /** Time at which the caller created the key, in wall milliseconds. */
   readonly issuedMs: number;
   /** Monotonic milliseconds. */
   readonly deadline: number;
   /**
-   * Runs the request. `startDeadline` is asked right before each dispatch: the
-   * latest time (monotonic milliseconds) at which a server may start it, or
-   * undefined when it may not be started any more.
+   * Runs the request. `startDeadline` is called before each attempt and returns
+   * the latest time at which a server may start the request, in monotonic
+   * milliseconds, or undefined when it may no longer be started.
    */
   execute(startDeadline: () => number | undefined): Promise<Outcome>;
 }
 
-/** Lets a key through at most once, as far as its mechanism reaches. */
+/** Runs guarded requests, each key at most once. */
 export abstract class KeyGuard {
   abstract run(request: GuardedRequest): Promise<Outcome>;
 }
--- a/src/admission/key-ranges.ts
+++ b/src/admission/key-ranges.ts
@@ -1,10 +1,8 @@
 /**
- * Ranges of request keys, each held by one daemon through a lease in the store.
- *
- * Before a key's request is dispatched, a second daemon keeps a copy of the
- * key. The store holds, for each range, who held it last and who has the
- * copies; a new holder fetches them from there, or answers "unknown" for as
- * long as a key may be remembered.
+ * Hash ranges of idempotency keys, each held by one daemon through a lease in
+ * the store and replicated to a backup daemon. The store names the holder and
+ * the backup of each range; a new holder fetches the records from either. When
+ * both are lost, keys issued before it took over get the status UNKNOWN.
  */
 import type {KeyRecord} from '../generated/peer.js';
 import type {Clock} from '../ports/clock.js';
@@ -12,32 +10,34 @@
 import type {LeaseGrant, Store} from '../ports/store.js';
 import {IdempotencyKeys} from './idempotency-keys.js';
 
-/** Number of ranges; one lease each. */
+/** Number of ranges; all daemons of a cluster must agree on it. */
 export const RANGE_COUNT = 64;
 
-/** Time that a lease is taken for, in milliseconds. */
 export const LEASE_MS = 30_000;
-/** A lease is renewed when less than this is left, in milliseconds. */
-const RENEW_BELOW_MS = 22_000;
-/** No dispatch is made in the last part of a lease; bounds clock differences. */
-const LEASE_MARGIN_MS = 1_000;
-const TICK_MS = 250;
-const CALL_MS = 1_000;
-const KEYS_A_RANGE = 20_000;
-
-/** Who is responsible for ranges by this daemon's view. */
+/** A lease is renewed once its remaining time is at most this. */
+const RENEWAL_THRESHOLD_MS = 22_000;
+/** End of a lease in which no request may start; covers clock skew. */
+const LEASE_SAFETY_MARGIN_MS = 1_000;
+const MAINTENANCE_INTERVAL_MS = 250;
+const PEER_CALL_TIMEOUT_MS = 1_000;
+const MAX_KEYS_PER_RANGE = 20_000;
+
+/**
+ * The daemons responsible for ranges, as this daemon sees the membership. A run
+ * is the unique id of one daemon process; a restart gets a new one.
+ */
 export interface RangeView {
-  /** This run of the daemon, unique. */
+  /** The run of this daemon. */
   readonly self: string;
-  /** The daemon that is to hold the range, as a run; undefined: none. */
+  /** Returns the run that should hold the range; undefined when there is none. */
   ownerOf(range: number): string | undefined;
-  /** Other daemons that may keep copies, the best first. */
+  /** Returns the runs that may be the range's backup, in order of preference. */
   backupsOf(range: number): string[];
-  /** Address of a run that is alive. */
+  /** Returns the address of a run; undefined when it is not alive. */
   addressOf(run: string): string | undefined;
 }
 
-/** Who held a range and who has its copies, as the store keeps it. */
+/** Last holder of a range and its backup, as runs; stored as JSON. */
 interface RangeRecord {
   readonly holder: string;
   readonly backup: string;
@@ -45,33 +45,34 @@
 
 const NO_RECORD: RangeRecord = {holder: '', backup: ''};
 
-/** One range as this daemon sees it. */
-export interface HeldRange {
+/** The state of one range at this daemon. */
+export interface KeyRange {
   readonly range: number;
   readonly memory: IdempotencyKeys;
-  /** End of the lease, monotonic milliseconds; 0: not held. */
+  /** End of the lease in monotonic milliseconds; 0 when it is not held. */
   leaseDeadline: number;
-  /** Whether the earlier holder's keys are here and copies are arranged. */
-  prepared: boolean;
-  /** Run that keeps the copies; empty when there is no other daemon. */
+  /** Whether the records of the last holder are merged and the backup is set. */
+  isReady: boolean;
+  /** Run of the backup; empty when there is no other daemon. */
   backup: string;
-  /** Number in the name that the lease is taken under; grows with each release. */
-  tenure: number;
-  /** Token of the lease; another one means that it was not held throughout. */
-  token: number;
-  /** Whether a release may not have reached the store. */
-  releasing: boolean;
+  /** Part of the lease holder's name; incremented with each release. */
+  leaseEpoch: number;
+  /** Token of the last grant; changes when another daemon held the lease. */
+  leaseToken: number;
+  /** Whether a release was sent but not confirmed by the store. */
+  releasePending: boolean;
   /**
-   * Wall milliseconds; keys made before may have been known to an earlier
-   * holder alone.
+   * Time since which the records are complete, in wall milliseconds; those of
+   * keys issued earlier may have been lost with a former holder.
    */
-  memoryStartMs: number;
-  /** Requests being run. */
-  running: number;
-  busy: boolean;
+  completeSinceMs: number;
+  /** Number of requests that are running. */
+  runningRequests: number;
+  /** Guards against overlapping maintenance of the range. */
+  isInMaintenance: boolean;
 }
 
-/** What the ranges are made from. */
+/** Options of the key ranges. */
 export interface KeyRangesOptions {
   readonly store: Store;
   readonly peers: Peers;
@@ -79,23 +80,23 @@
   readonly view: RangeView;
 }
 
-/** All ranges of one daemon. */
+/** Acquires, replicates and releases the key ranges of one daemon. */
 export class KeyRanges {
-  private readonly ranges: HeldRange[];
+  private readonly ranges: KeyRange[];
 
   private constructor(private readonly options: KeyRangesOptions) {
     this.ranges = Array.from({length: RANGE_COUNT}, (_, range) => ({
       range,
-      memory: IdempotencyKeys.create(options.clock, KEYS_A_RANGE),
+      memory: IdempotencyKeys.create(options.clock, MAX_KEYS_PER_RANGE),
       leaseDeadline: 0,
-      prepared: false,
+      isReady: false,
       backup: '',
-      tenure: 0,
-      token: 0,
-      releasing: false,
-      memoryStartMs: 0,
-      running: 0,
-      busy: false,
+      leaseEpoch: 0,
+      leaseToken: 0,
+      releasePending: false,
+      completeSinceMs: 0,
+      runningRequests: 0,
+      isInMaintenance: false,
     }));
   }
 
@@ -104,61 +105,73 @@
     return new KeyRanges(options);
   }
 
-  /** Ranges held and prepared. */
+  /** Number of ranges that are usable. */
   get heldCount(): number {
     return this.ranges.filter(range => this.isUsable(range)).length;
   }
 
-  /** A range by number. */
-  get(range: number): HeldRange {
+  /** Returns a range by number, 0 to `RANGE_COUNT - 1`. */
+  get(range: number): KeyRange {
     return this.ranges[range];
   }
 
-  /** Starts to take and renew leases; the returned function stops that. */
+  /** Starts to acquire and renew leases; returns a function that stops it. */
   start(): () => void {
     const {clock} = this.options;
     let timer = clock.callAt(clock.now(), () => undefined);
     const tick = () => {
-      timer = clock.callAt(clock.now() + TICK_MS, tick);
+      timer = clock.callAt(clock.now() + MAINTENANCE_INTERVAL_MS, tick);
       this.ranges.forEach(range => void this.maintain(range));
     };
     tick();
     return () => timer.cancel();
   }
 
-  /** Whether requests of the range may be run here now. */
-  isUsable(range: HeldRange): boolean {
+  /** Whether this daemon may run requests of the range now. */
+  isUsable(range: KeyRange): boolean {
     return (
-      range.prepared &&
+      range.isReady &&
       this.startDeadline(range) !== undefined &&
       this.options.view.ownerOf(range.range) === this.options.view.self
     );
   }
 
-  /** Latest time at which a server may start a request of the range. */
-  startDeadline(range: HeldRange): number | undefined {
-    const deadline = range.leaseDeadline - LEASE_MARGIN_MS;
+  /**
+   * Returns the latest time at which a server may start a request of the range,
+   * in monotonic milliseconds, or undefined when the lease is about to end.
+   */
+  startDeadline(range: KeyRange): number | undefined {
+    const deadline = range.leaseDeadline - LEASE_SAFETY_MARGIN_MS;
     return deadline > this.options.clock.now() ? deadline : undefined;
   }
 
-  /** Has the copies include a record; false when they do not. */
-  async keepCopy(range: HeldRange, record: KeyRecord): Promise<boolean> {
+  /**
+   * Sends a record to the backup and waits for its confirmation; false when that
+   * failed, or when there is no backup and the range is not ready.
+   */
+  async replicateRecord(range: KeyRange, record: KeyRecord): Promise<boolean> {
     if (range.backup === '') {
-      return range.prepared;
+      return range.isReady;
     }
-    const kept = await this.push(range.backup, range.range, [record]);
-    if (!kept) {
-      range.prepared = false;
+    const confirmed = await this.sendKeysTo(range.backup, range.range, [
+      record,
+    ]);
+    if (!confirmed) {
+      range.isReady = false;
     }
-    return kept;
+    return confirmed;
   }
 
-  /** Gives up every range once its requests have ended. */
+  /**
+   * Releases all ranges, each once its requests have ended. Returns when none
+   * is held or at `deadline`, in monotonic milliseconds.
+   */
   async releaseAll(deadline: number): Promise<void> {
     const {clock} = this.options;
     const held = () =>
       this.ranges.filter(
-        ({leaseDeadline, releasing}) => leaseDeadline > 0 || releasing,
+        ({leaseDeadline, releasePending}) =>
+          leaseDeadline > 0 || releasePending,
       );
     while (held().length > 0 && clock.now() < deadline) {
       await Promise.all(held().map(range => this.release(range)));
@@ -166,84 +179,88 @@
     }
   }
 
-  /** One look at one range: take, renew, prepare or give up. */
-  private async maintain(range: HeldRange): Promise<void> {
-    if (range.busy) {
+  /** Acquires, renews, prepares or releases a range according to its owner. */
+  private async maintain(range: KeyRange): Promise<void> {
+    if (range.isInMaintenance) {
       return;
     }
-    range.busy = true;
+    range.isInMaintenance = true;
     const {clock, view} = this.options;
-    const mine = view.ownerOf(range.range) === view.self;
+    const isOwner = view.ownerOf(range.range) === view.self;
     if (range.leaseDeadline > 0 && range.leaseDeadline <= clock.now()) {
       range.leaseDeadline = 0;
-      range.prepared = false;
+      range.isReady = false;
     }
-    if (!mine && (range.leaseDeadline > 0 || range.releasing)) {
+    if (!isOwner && (range.leaseDeadline > 0 || range.releasePending)) {
       await this.release(range);
-    } else if (mine) {
-      await this.takeOrRenew(range);
+    } else if (isOwner) {
+      await this.acquireOrRenewLease(range);
       await this.prepare(range);
     }
-    range.busy = false;
+    range.isInMaintenance = false;
   }
 
-  private async takeOrRenew(range: HeldRange): Promise<void> {
+  private async acquireOrRenewLease(range: KeyRange): Promise<void> {
     const {clock, store, view} = this.options;
-    const left = range.leaseDeadline - clock.now();
-    if (left > RENEW_BELOW_MS) {
+    const remainingMs = range.leaseDeadline - clock.now();
+    if (remainingMs > RENEWAL_THRESHOLD_MS) {
       return;
     }
-    if (range.releasing) {
-      range.tenure += 1;
-      range.releasing = false;
+    if (range.releasePending) {
+      range.leaseEpoch += 1;
+      range.releasePending = false;
     }
     const granted = await store.acquireLease(
       leaseKey(range.range),
-      holderName(view.self, range.tenure),
+      leaseHolderName(view.self, range.leaseEpoch),
       clock.now() + LEASE_MS,
     );
     granted.map(grant => {
       if (grant.held) {
-        this.noteGrant(range, grant);
+        this.recordGrant(range, grant);
       }
       return grant;
     });
   }
 
-  private noteGrant(range: HeldRange, grant: LeaseGrant): void {
-    range.releasing = false;
+  private recordGrant(range: KeyRange, grant: LeaseGrant): void {
+    range.releasePending = false;
     range.leaseDeadline = Math.max(grant.deadline, range.leaseDeadline);
-    if (grant.token !== range.token) {
-      // Somebody else may have held the range in between.
-      range.token = grant.token;
-      range.prepared = false;
+    if (grant.token !== range.leaseToken) {
+      // Another daemon may have held the range in between.
+      range.leaseToken = grant.token;
+      range.isReady = false;
     }
   }
 
-  /** Fetches the keys of the holder before, and arranges for copies. */
-  private async prepare(range: HeldRange): Promise<void> {
+  /**
+   * Fetches the records of the last holder, chooses a backup and writes both to
+   * the store. Does nothing when the range is ready and its backup is alive.
+   */
+  private async prepare(range: KeyRange): Promise<void> {
     const {view} = this.options;
     const backupLost =
       range.backup !== '' && view.addressOf(range.backup) === undefined;
-    const alone = range.backup === '' && view.backupsOf(range.range).length > 0;
-    const done = range.prepared && !backupLost && !alone;
-    if (range.leaseDeadline === 0 || done) {
+    const canAddBackup =
+      range.backup === '' && view.backupsOf(range.range).length > 0;
+    const isDone = range.isReady && !backupLost && !canAddBackup;
+    if (range.leaseDeadline === 0 || isDone) {
       return;
     }
-    // No key is let through while the copies change hands.
-    range.prepared = false;
+    // No request may run until the new backup has all records.
+    range.isReady = false;
     const {store} = this.options;
     const stored = await store.get(recordKey(range.range));
     if (stored.isErr()) {
       return;
     }
-    const before = readRecord(stored.value.value);
-    await this.fetchKeys(range, before);
-    const backup = await this.findBackup(range);
+    const previous = decodeRecord(stored.value.value);
+    await this.fetchKeys(range, previous);
+    const backup = await this.chooseBackup(range);
     if (backup === undefined) {
       return;
     }
-    const record = writeRecord({holder: view.self, backup});
+    const record = encodeRecord({holder: view.self, backup});
     const swapped = await store.compareAndSwap(
       recordKey(range.range),
       record,
@@ -251,54 +268,57 @@
     );
     if (swapped.isOk() && swapped.value.swapped) {
       range.backup = backup;
-      range.prepared = true;
+      range.isReady = true;
     }
   }
 
-  /** Fetches the keys from the holder before or from its copies. */
+  /** Fetches the records of the last holder from it or from its backup. */
   private async fetchKeys(
-    range: HeldRange,
-    before: RangeRecord,
+    range: KeyRange,
+    previous: RangeRecord,
   ): Promise<void> {
     const {clock, view} = this.options;
-    const known = before.holder === '' || before.holder === view.self;
-    if (known || before.backup === view.self) {
+    const isOwnRecord = previous.holder === '' || previous.holder === view.self;
+    if (isOwnRecord || previous.backup === view.self) {
       return;
     }
     const fetched =
-      (await this.pull(before.holder, range)) ||
-      (await this.pull(before.backup, range));
+      (await this.fetchKeysFrom(previous.holder, range)) ||
+      (await this.fetchKeysFrom(previous.backup, range));
     if (!fetched) {
-      range.memoryStartMs = clock.wall();
+      range.completeSinceMs = clock.wall();
     }
   }
 
-  private async pull(run: string, range: HeldRange): Promise<boolean> {
+  private async fetchKeysFrom(run: string, range: KeyRange): Promise<boolean> {
     const {clock, peers, view} = this.options;
     const address = view.addressOf(run);
     if (address === undefined) {
       return false;
     }
-    const deadline = clock.now() + CALL_MS;
-    const pulled = await peers.pullKeys(address, range.range, deadline);
-    pulled.map(records => range.memory.merge(records));
-    return pulled.isOk();
+    const deadline = clock.now() + PEER_CALL_TIMEOUT_MS;
+    const response = await peers.pullKeys(address, range.range, deadline);
+    response.map(records => range.memory.merge(records));
+    return response.isOk();
   }
 
-  /** The first daemon that takes copies of all keys; "" when there is none. */
-  private async findBackup(range: HeldRange): Promise<string | undefined> {
+  /**
+   * Returns the first candidate that confirms all records, "" when there are no
+   * candidates, and undefined when all of them failed.
+   */
+  private async chooseBackup(range: KeyRange): Promise<string | undefined> {
     const candidates = this.options.view.backupsOf(range.range);
     const records = range.memory.records();
-    const found = await candidates.reduce<Promise<string | undefined>>(
+    const chosen = await candidates.reduce<Promise<string | undefined>>(
       async (earlier, run) =>
         (await earlier) ??
-        ((await this.push(run, range.range, records)) ? run : undefined),
+        ((await this.sendKeysTo(run, range.range, records)) ? run : undefined),
       Promise.resolve(undefined),
     );
-    return candidates.length === 0 ? '' : found;
+    return candidates.length === 0 ? '' : chosen;
   }
 
-  private async push(
+  private async sendKeysTo(
     run: string,
     range: number,
     records: KeyRecord[],
@@ -308,40 +328,48 @@
     if (address === undefined) {
       return false;
     }
-    const deadline = clock.now() + CALL_MS;
-    const pushed = await peers.keepKeys(address, range, records, deadline);
-    return pushed.isOk();
+    const deadline = clock.now() + PEER_CALL_TIMEOUT_MS;
+    const confirmation = await peers.keepKeys(
+      address,
+      range,
+      records,
+      deadline,
+    );
+    return confirmation.isOk();
   }
 
-  /** Gives a range up; its keys stay here for the next holder to fetch. */
-  private async release(range: HeldRange): Promise<void> {
-    if (range.running > 0) {
+  /**
+   * Releases a range that has no running requests. Its records are kept for the
+   * next holder to fetch.
+   */
+  private async release(range: KeyRange): Promise<void> {
+    if (range.runningRequests > 0) {
       return;
     }
-    range.prepared = false;
+    range.isReady = false;
     range.leaseDeadline = 0;
-    range.releasing = true;
+    range.releasePending = true;
     const {store, view} = this.options;
-    const holder = holderName(view.self, range.tenure);
+    const holder = leaseHolderName(view.self, range.leaseEpoch);
     const released = await store.releaseLease(leaseKey(range.range), holder);
     if (released.isOk()) {
-      // A release that is delayed must not end a later tenure.
-      range.tenure += 1;
-      range.releasing = false;
+      // A delayed duplicate of this release must not end a later lease.
+      range.leaseEpoch += 1;
+      range.releasePending = false;
     }
   }
 
   private pause(): Promise<void> {
     const {clock} = this.options;
     return new Promise(resolve => {
-      clock.callAt(clock.now() + TICK_MS, resolve);
+      clock.callAt(clock.now() + MAINTENANCE_INTERVAL_MS, resolve);
     });
   }
 }
 
-/** The name that a lease is taken under. */
-function holderName(run: string, tenure: number): string {
-  return `${run}#${tenure}`;
+/** Returns the holder name under which a lease is acquired. */
+function leaseHolderName(run: string, epoch: number): string {
+  return `${run}#${epoch}`;
 }
 
 function leaseKey(range: number): string {
@@ -352,12 +380,12 @@
   return `weldyard/range/${range}`;
 }
 
-function writeRecord(record: RangeRecord): Uint8Array {
+function encodeRecord(record: RangeRecord): Uint8Array {
   return new TextEncoder().encode(JSON.stringify(record));
 }
 
-/** Reads a record; no bytes mean that the range was never held. */
-function readRecord(bytes: Uint8Array): RangeRecord {
+/** Decodes a record; no bytes mean that the range was never held. */
+function decodeRecord(bytes: Uint8Array): RangeRecord {
   return bytes.length === 0
     ? NO_RECORD
     : (JSON.parse(new TextDecoder().decode(bytes)) as RangeRecord);
--- a/src/admission/leased-key-guard.ts
+++ b/src/admission/leased-key-guard.ts
@@ -1,36 +1,39 @@
-/** At most once by leased key ranges with copies at a second daemon. */
+/**
+ * At-most-once execution of requests by idempotency key, based on leased and
+ * replicated key ranges. Used by the request entry of the key's owner.
+ */
 import {match} from 'ts-pattern';
 import {RequestStatus, type CallerReply} from '../generated/request.js';
 import type {Clock} from '../ports/clock.js';
 import type {Hasher} from '../ports/hasher.js';
 import {KeyGuard, type GuardedRequest} from './key-guard.js';
 import {KEY_RETENTION_MS} from './idempotency-keys.js';
-import {RANGE_COUNT, type HeldRange, type KeyRanges} from './key-ranges.js';
+import {RANGE_COUNT, type KeyRange, type KeyRanges} from './key-ranges.js';
 import {
   OutcomeReason,
-  ended,
-  outcomeOf,
-  replyOf,
+  createOutcome,
+  fromCallerReply,
+  toCallerReply,
   type Outcome,
 } from './outcome.js';
 
-const RANGE_SEED = 29;
-const POLL_MS = 50;
-/** Longest time that a request waits for its range, in milliseconds. */
-const RANGE_WAIT_MS = 3_000;
+const RANGE_HASH_SEED = 29;
+const RANGE_POLL_INTERVAL_MS = 50;
+/** Maximum time that a request waits until its range is usable. */
+const MAX_RANGE_WAIT_MS = 3_000;
 const RETRY_AFTER_MS = 1_000;
-/** Difference of callers' and daemons' clocks that is allowed for. */
-export const CLOCK_MARGIN_MS = 2_000;
+/** Tolerated difference between the clocks of callers and daemons. */
+export const MAX_CLOCK_SKEW_MS = 2_000;
 
-/** The range of a key. */
+/** Returns the number of the range that a key belongs to. */
 export function rangeOf(key: string, hasher: Hasher): number {
-  return hasher.hashText(key, RANGE_SEED) % RANGE_COUNT;
+  return hasher.hashText(key, RANGE_HASH_SEED) % RANGE_COUNT;
 }
 
-/** Guard over the key ranges that this daemon holds. */
+/** Runs requests whose keys are in ranges that this daemon holds. */
 export class LeasedKeyGuard extends KeyGuard {
-  /** Requests that run now; a resend waits for the same outcome. */
-  private readonly running = new Map<string, Promise<Outcome>>();
+  /** Outcomes of running requests by key; a resend waits for the same one. */
+  private readonly inFlight = new Map<string, Promise<Outcome>>();
 
   private constructor(
     private readonly ranges: KeyRanges,
@@ -50,125 +53,129 @@
   }
 
   async run(request: GuardedRequest): Promise<Outcome> {
-    const known = this.running.get(request.key);
-    if (known !== undefined) {
-      return this.shareOutcome(known, request.deadline);
+    const earlier = this.inFlight.get(request.key);
+    if (earlier !== undefined) {
+      return this.shareOutcome(earlier, request.deadline);
     }
     const range = this.ranges.get(rangeOf(request.key, this.hasher));
-    const outcome = this.runNew(request, range);
-    this.running.set(request.key, outcome);
+    const outcome = this.runFirst(request, range);
+    this.inFlight.set(request.key, outcome);
     const result = await outcome;
-    this.running.delete(request.key);
+    this.inFlight.delete(request.key);
     return result;
   }
 
-  /** A resend gets the first one's outcome, if it comes in time. */
+  /** Returns the outcome of the first request, or UNKNOWN at the deadline. */
   private shareOutcome(
     first: Promise<Outcome>,
     deadline: number,
   ): Promise<Outcome> {
-    const late = new Promise<Outcome>(resolve => {
+    const timeout = new Promise<Outcome>(resolve => {
       this.clock.callAt(deadline, () =>
-        resolve(ended(OutcomeReason.EARLIER_OUTCOME_UNKNOWN)),
+        resolve(createOutcome(OutcomeReason.EARLIER_OUTCOME_UNKNOWN)),
       );
     });
-    return Promise.race([first, late]);
+    return Promise.race([first, timeout]);
   }
 
-  private async runNew(
+  private async runFirst(
     request: GuardedRequest,
-    range: HeldRange,
+    range: KeyRange,
   ): Promise<Outcome> {
     const usable = await this.waitForRange(range, request.deadline);
     if (!usable) {
-      return ended(OutcomeReason.KEY_RANGE_NOT_HELD, RETRY_AFTER_MS);
+      return createOutcome(OutcomeReason.KEY_RANGE_NOT_HELD, RETRY_AFTER_MS);
     }
-    const remembered = range.memory.get(request.key);
-    if (remembered !== undefined) {
-      return repeatOutcome(remembered.reply);
+    const recorded = range.memory.get(request.key);
+    if (recorded !== undefined) {
+      return outcomeForResend(recorded.reply);
     }
-    const refusal = this.refuseByAge(request, range);
-    if (refusal !== undefined) {
-      return refusal;
+    const rejection = this.rejectByAge(request, range);
+    if (rejection !== undefined) {
+      return rejection;
     }
     if (!range.memory.hasRoom()) {
-      return ended(OutcomeReason.QUEUE_FULL, RETRY_AFTER_MS);
+      return createOutcome(OutcomeReason.QUEUE_FULL, RETRY_AFTER_MS);
     }
-    range.running += 1;
-    const outcome = await this.runRemembered(request, range);
-    range.running -= 1;
+    range.runningRequests += 1;
+    const outcome = await this.runRecorded(request, range);
+    range.runningRequests -= 1;
     return outcome;
   }
 
-  /** Notes the key in both memories, runs it, and notes the outcome. */
-  private async runRemembered(
+  /** Replicates the key's record, runs the request, then records its outcome. */
+  private async runRecorded(
     request: GuardedRequest,
-    range: HeldRange,
+    range: KeyRange,
   ): Promise<Outcome> {
     range.memory.set(request.key, undefined);
-    const copied = await this.ranges.keepCopy(range, record(request.key));
-    if (!copied) {
-      range.memory.free(request.key);
-      return ended(OutcomeReason.KEY_RANGE_NOT_HELD, RETRY_AFTER_MS);
+    const replicated = await this.ranges.replicateRecord(
+      range,
+      createPendingRecord(request.key),
+    );
+    if (!replicated) {
+      range.memory.remove(request.key);
+      return createOutcome(OutcomeReason.KEY_RANGE_NOT_HELD, RETRY_AFTER_MS);
     }
     const outcome = await request.execute(() =>
       this.ranges.startDeadline(range),
     );
-    const reply = replyOf(outcome);
-    const ran = reply.status !== RequestStatus.NOT_RUN;
-    const known = reply.status === RequestStatus.ANSWERED ? reply : undefined;
-    if (ran) {
-      range.memory.set(request.key, known);
+    const reply = toCallerReply(outcome);
+    const mayHaveRun = reply.status !== RequestStatus.NOT_RUN;
+    const answer = reply.status === RequestStatus.ANSWERED ? reply : undefined;
+    if (mayHaveRun) {
+      range.memory.set(request.key, answer);
     } else {
-      range.memory.free(request.key);
+      range.memory.remove(request.key);
     }
-    void this.ranges.keepCopy(range, {
-      ...record(request.key),
-      reply: known,
-      freed: !ran,
+    void this.ranges.replicateRecord(range, {
+      ...createPendingRecord(request.key),
+      reply: answer,
+      freed: !mayHaveRun,
     });
     return outcome;
   }
 
-  /** An old key may have been forgotten, or known to a lost holder alone. */
-  private refuseByAge(
+  /** Rejects keys whose record may have expired or been lost with a holder. */
+  private rejectByAge(
     request: GuardedRequest,
-    range: HeldRange,
+    range: KeyRange,
   ): Outcome | undefined {
     const {issuedMs} = request;
-    if (issuedMs < this.clock.wall() - KEY_RETENTION_MS + CLOCK_MARGIN_MS) {
-      return ended(OutcomeReason.KEY_TOO_OLD);
+    if (issuedMs < this.clock.wall() - KEY_RETENTION_MS + MAX_CLOCK_SKEW_MS) {
+      return createOutcome(OutcomeReason.KEY_TOO_OLD);
     }
-    return issuedMs < range.memoryStartMs + CLOCK_MARGIN_MS
-      ? ended(OutcomeReason.MEMORY_LOST)
+    return issuedMs < range.completeSinceMs + MAX_CLOCK_SKEW_MS
+      ? createOutcome(OutcomeReason.MEMORY_LOST)
       : undefined;
   }
 
   private async waitForRange(
-    range: HeldRange,
+    range: KeyRange,
     deadline: number,
   ): Promise<boolean> {
-    const until = Math.min(deadline, this.clock.now() + RANGE_WAIT_MS);
+    const until = Math.min(deadline, this.clock.now() + MAX_RANGE_WAIT_MS);
     while (!this.ranges.isUsable(range) && this.clock.now() < until) {
       await new Promise<void>(resolve => {
-        this.clock.callAt(this.clock.now() + POLL_MS, resolve);
+        this.clock.callAt(this.clock.now() + RANGE_POLL_INTERVAL_MS, resolve);
       });
     }
     return this.ranges.isUsable(range);
   }
 }
 
-/** What a resend is told. */
-function repeatOutcome(reply: CallerReply | undefined): Outcome {
+/** Returns the outcome of a resend from the recorded reply. */
+function outcomeForResend(reply: CallerReply | undefined): Outcome {
   return match(reply)
-    .with(undefined, () => ended(OutcomeReason.EARLIER_OUTCOME_UNKNOWN))
-    .otherwise(known => ({
-      ...outcomeOf(known),
+    .with(undefined, () => createOutcome(OutcomeReason.EARLIER_OUTCOME_UNKNOWN))
+    .otherwise(recorded => ({
+      ...fromCallerReply(recorded),
       reason: OutcomeReason.REMEMBERED,
     }));
 }
 
-function record(key: string) {
+/** Creates the record of a key whose outcome is not known yet. */
+function createPendingRecord(key: string) {
   return {
     key,
     reply: undefined,
--- a/src/admission/naive-requests.ts
+++ b/src/admission/naive-requests.ts
@@ -1,51 +1,57 @@
 /**
- * The naive way, kept to be measured against: forward to a random server and
- * try another on any error, with no memory of keys.
+ * Baseline for benchmarks: forwards a request to a random server and retries on
+ * any error, without admission control or idempotency keys. Used by daemons
+ * whose requests policy is "naive".
  */
 import type {Service} from '../configuration/services.js';
 import type {CallerReply, CallerRequest} from '../generated/request.js';
 import type {BackendServers} from '../ports/backend-servers.js';
 import type {Clock} from '../ports/clock.js';
-import {OutcomeReason, ended, replyOf, type Outcome} from './outcome.js';
+import {
+  OutcomeReason,
+  createOutcome,
+  toCallerReply,
+  type Outcome,
+} from './outcome.js';
 
-const TRIES = 3;
-const TRY_MS = 1_000;
+const MAX_ATTEMPTS = 3;
+const ATTEMPT_TIMEOUT_MS = 1_000;
 
-/** What the naive way is made from. */
+/** Options of the naive request handler. */
 export interface NaiveRequestsOptions {
   readonly clock: Clock;
   readonly backends: BackendServers;
-  /** A number from 0 to below 1. */
+  /** Returns a number from 0 to below 1. */
   random(): number;
   findService(workspace: string, service: string): Service | undefined;
 }
 
-/** Requests without any of the promises. */
+/** Handles requests without any guarantee; may run one more than once. */
 export class NaiveRequests {
   private constructor(private readonly options: NaiveRequestsOptions) {}
 
-  /** Creates the naive way. */
+  /** Creates a handler. */
   static create(options: NaiveRequestsOptions): NaiveRequests {
     return new NaiveRequests(options);
   }
 
-  /** Handles one request. */
+  /** Handles a request; reports NOT_RUN even if a server may have run it. */
   async handle(request: CallerRequest): Promise<CallerReply> {
     const service = this.options.findService(
       request.workspace,
       request.service,
     );
-    return replyOf(
+    return toCallerReply(
       service === undefined
-        ? ended(OutcomeReason.UNKNOWN_SERVICE)
-        : await this.tryServers(request, service, TRIES),
+        ? createOutcome(OutcomeReason.UNKNOWN_SERVICE)
+        : await this.sendWithRetries(request, service, MAX_ATTEMPTS),
     );
   }
 
-  private async tryServers(
+  private async sendWithRetries(
     request: CallerRequest,
     service: Service,
-    tries: number,
+    attemptsLeft: number,
   ): Promise<Outcome> {
     const {backends, clock, random} = this.options;
     const {servers} = service;
@@ -62,15 +68,15 @@
         body,
         startByMs: 0,
       },
-      clock.now() + Math.min(timeLeftMs, TRY_MS),
+      clock.now() + Math.min(timeLeftMs, ATTEMPT_TIMEOUT_MS),
     );
-    const answered = result.isOk() && result.value.started;
-    if (answered) {
+    const isAnswered = result.isOk() && result.value.started;
+    if (isAnswered) {
       const reply = result.value;
-      return {...ended(OutcomeReason.ANSWERED), body: reply.body};
+      return {...createOutcome(OutcomeReason.ANSWERED), body: reply.body};
     }
-    return tries > 1
-      ? this.tryServers(request, service, tries - 1)
-      : ended(OutcomeReason.NO_SERVER);
+    return attemptsLeft > 1
+      ? this.sendWithRetries(request, service, attemptsLeft - 1)
+      : createOutcome(OutcomeReason.NO_SERVER);
   }
 }
--- a/src/admission/outcome.ts
+++ b/src/admission/outcome.ts
@@ -1,11 +1,14 @@
-/** How a request ends: answered, not run or unknown, each with its reason. */
+/**
+ * Outcomes of requests: the reasons, the status that each one maps to, and the
+ * conversion from and to replies.
+ */
 import {P, match} from 'ts-pattern';
 import {RequestStatus, type CallerReply} from '../generated/request.js';
 
 /** Why a request ended as it did. */
 export const OutcomeReason = {
   ANSWERED: 'answered',
-  /** The caller's key was answered before; this is the same answer. */
+  /** The recorded answer to an earlier request with the same key. */
   REMEMBERED: 'remembered',
   UNKNOWN_SERVICE: 'unknown-service',
   MALFORMED: 'malformed',
@@ -16,41 +19,48 @@
   RETRY_BUDGET_SPENT: 'retry-budget-spent',
   NO_SERVER: 'no-server',
   STOPPING: 'stopping',
-  /** The key's range is not held by any daemon that can be reached. */
+  /** No reachable daemon holds the key's range. */
   KEY_RANGE_NOT_HELD: 'key-range-not-held',
   STORE_DOWN: 'store-down',
+  /** The owner of the key was asked and gave no usable reply. */
   OWNER_SILENT: 'owner-silent',
   SERVER_SILENT: 'server-silent',
+  /** The server's answer was truncated. */
   PARTIAL_ANSWER: 'partial-answer',
+  /** The server's answer was for another request or attempt. */
   WRONG_ANSWER: 'wrong-answer',
   /** An earlier request with this key may have run. */
   EARLIER_OUTCOME_UNKNOWN: 'earlier-outcome-unknown',
+  /** The key's record may have been lost with a former holder. */
   MEMORY_LOST: 'memory-lost',
-  /** The key is older than keys are remembered. */
+  /** The key was issued before the retention period of keys. */
   KEY_TOO_OLD: 'key-too-old',
 } as const;
 /** One of the reasons in `OutcomeReason`. */
 export type OutcomeReason = (typeof OutcomeReason)[keyof typeof OutcomeReason];
 
-const REASONS = Object.values(OutcomeReason);
+const ALL_REASONS = Object.values(OutcomeReason);
 
-/** A final outcome. */
+/** The final outcome of a request. */
 export interface Outcome {
   readonly reason: OutcomeReason;
-  /** The whole answer; empty unless the request was answered. */
+  /** The complete answer; empty unless the request was answered. */
   readonly body: Uint8Array;
-  /** Milliseconds after which another try makes sense; 0: none is advised. */
+  /** Suggested delay before a retry, in milliseconds; 0: no suggestion. */
   readonly retryAfterMs: number;
 }
 
-const NOTHING = new Uint8Array(0);
+const EMPTY_BODY = new Uint8Array(0);
 
-/** An outcome without a body. */
-export function ended(reason: OutcomeReason, retryAfterMs = 0): Outcome {
-  return {reason, body: NOTHING, retryAfterMs};
+/** Creates an outcome without a body. */
+export function createOutcome(
+  reason: OutcomeReason,
+  retryAfterMs = 0,
+): Outcome {
+  return {reason, body: EMPTY_BODY, retryAfterMs};
 }
 
-/** The status that a reason stands for; every reason has exactly one. */
+/** Returns the status of a reason. */
 export function statusOf(reason: OutcomeReason): RequestStatus {
   return match(reason)
     .with('answered', 'remembered', () => RequestStatus.ANSWERED)
@@ -81,8 +91,8 @@
     .exhaustive();
 }
 
-/** The reply that tells a caller the outcome. */
-export function replyOf(outcome: Outcome): CallerReply {
+/** Converts an outcome to the reply for the caller. */
+export function toCallerReply(outcome: Outcome): CallerReply {
   return {
     status: statusOf(outcome.reason),
     reason: outcome.reason,
@@ -91,11 +101,11 @@
   };
 }
 
-/** The outcome that a reply tells; an unknown reason is taken as silence. */
-export function outcomeOf(reply: CallerReply): Outcome {
-  const reason = REASONS.find(known => known === reply.reason);
+/** Converts a reply to its outcome; an unrecognized reason is OWNER_SILENT. */
+export function fromCallerReply(reply: CallerReply): Outcome {
+  const reason = ALL_REASONS.find(known => known === reply.reason);
   return match(reason)
-    .with(P.nullish, () => ended(OutcomeReason.OWNER_SILENT))
+    .with(P.nullish, () => createOutcome(OutcomeReason.OWNER_SILENT))
     .otherwise(known => ({
       reason: known,
       body: reply.body,
--- a/src/admission/request-entry.ts
+++ b/src/admission/request-entry.ts
@@ -1,4 +1,7 @@
-/** Entry of requests: finds the service, applies limits, picks the way. */
+/**
+ * Entry point for requests of callers and peers: finds the service, applies
+ * limits, then dispatches the request here or forwards it to its key's owner.
+ */
 import {match} from 'ts-pattern';
 import type {Service} from '../configuration/services.js';
 import type {CallerReply, CallerRequest} from '../generated/request.js';
@@ -9,45 +12,46 @@
 import {EventKind, type Timeline} from '../ports/timeline.js';
 import type {Dispatcher} from './dispatcher.js';
 import type {KeyGuard} from './key-guard.js';
-import {CLOCK_MARGIN_MS} from './leased-key-guard.js';
+import {MAX_CLOCK_SKEW_MS} from './leased-key-guard.js';
 import {
   OutcomeReason,
-  ended,
-  outcomeOf,
-  replyOf,
+  createOutcome,
+  fromCallerReply,
+  toCallerReply,
   statusOf,
   type Outcome,
 } from './outcome.js';
 
-const OWNER_RETRY_MS = 100;
+const OWNER_RETRY_INTERVAL_MS = 100;
 const RETRY_AFTER_MS = 500;
-/** Longest body that is taken, in bytes. */
-const MAXIMUM_BODY = 1_000_000;
-const MAXIMUM_KEY = 200;
+const MAX_BODY_BYTES = 1_000_000;
+/** In UTF-16 code units. */
+const MAX_KEY_LENGTH = 200;
 
-/** Where requests with a key are decided. */
+/** The daemon that guards a key. */
 export interface KeyOwner {
-  /** Undefined when it is this daemon. */
+  /** Address of the daemon; undefined when it is this one. */
   readonly address: string | undefined;
 }
 
-/** What the entry is made from. */
+/** Options of the request entry. */
 export interface RequestEntryOptions {
   readonly clock: Clock;
   readonly counters: Counters;
   readonly timeline: Timeline;
   readonly peers: Peers;
   readonly guard: KeyGuard;
-  /** The service of a workspace by names. */
+  /** Returns a service of a workspace; undefined when there is none. */
   findService(workspace: string, service: string): Service | undefined;
+  /** Returns the dispatcher of the service's pool. */
   dispatcherOf(service: Service): Dispatcher;
-  /** The daemon that decides a key, by this daemon's view. */
+  /** Returns the daemon that guards a key, as this daemon sees it. */
   ownerOf(key: string): KeyOwner;
 }
 
-/** Takes requests of callers and of peers. */
+/** Handles requests of callers and those that peers forward. */
 export class RequestEntry {
-  private readonly inFlight = new Map<string, number>();
+  private readonly inFlightByWorkspace = new Map<string, number>();
   private stopping = false;
   private running = 0;
 
@@ -58,17 +62,17 @@
     return new RequestEntry(options);
   }
 
-  /** Requests that have not ended yet. */
+  /** Number of requests that have not ended. */
   get count(): number {
     return this.running;
   }
 
-  /** Refuses new requests from now on. */
+  /** Rejects new requests of callers from now on. */
   stop(): void {
     this.stopping = true;
   }
 
-  /** Handles a request; `deadline` is monotonic milliseconds. */
+  /** Handles a request and returns the reply with its final outcome. */
   async handle(request: CallerRequest): Promise<CallerReply> {
     const {clock} = this.options;
     const deadline = clock.now() + request.timeLeftMs;
@@ -76,9 +80,9 @@
     const outcome = await this.admit(request, deadline);
     this.running -= 1;
     if (request.hops === 0) {
-      this.record(request, outcome);
+      this.recordOutcome(request, outcome);
     }
-    return replyOf(outcome);
+    return toCallerReply(outcome);
   }
 
   private async admit(
@@ -88,44 +92,48 @@
     const {workspace} = request;
     const service = this.options.findService(workspace, request.service);
     if (this.stopping && request.hops === 0) {
-      return ended(OutcomeReason.STOPPING, RETRY_AFTER_MS);
+      return createOutcome(OutcomeReason.STOPPING, RETRY_AFTER_MS);
     }
     if (service === undefined) {
-      return ended(OutcomeReason.UNKNOWN_SERVICE);
+      return createOutcome(OutcomeReason.UNKNOWN_SERVICE);
     }
     if (!this.isWellFormed(request, service)) {
-      return ended(OutcomeReason.MALFORMED);
+      return createOutcome(OutcomeReason.MALFORMED);
     }
-    const inFlight = this.inFlight.get(workspace) ?? 0;
+    const inFlight = this.inFlightByWorkspace.get(workspace) ?? 0;
     if (inFlight >= service.requestsInFlight) {
-      return ended(OutcomeReason.WORKSPACE_LIMIT, RETRY_AFTER_MS);
+      return createOutcome(OutcomeReason.WORKSPACE_LIMIT, RETRY_AFTER_MS);
     }
-    this.inFlight.set(workspace, inFlight + 1);
-    const longest = this.options.clock.now() + service.deadlineMs;
-    const outcome = await this.carryOut(
+    this.inFlightByWorkspace.set(workspace, inFlight + 1);
+    const latest = this.options.clock.now() + service.deadlineMs;
+    const outcome = await this.runAdmitted(
       request,
       service,
-      Math.min(deadline, longest),
+      Math.min(deadline, latest),
+    );
+    this.inFlightByWorkspace.set(
+      workspace,
+      (this.inFlightByWorkspace.get(workspace) ?? 1) - 1,
     );
-    this.inFlight.set(workspace, (this.inFlight.get(workspace) ?? 1) - 1);
     return outcome;
   }
 
   private isWellFormed(request: CallerRequest, service: Service): boolean {
-    const latest = this.options.clock.wall() + CLOCK_MARGIN_MS;
-    const keyFits = request.key.length > 0 && request.key.length <= MAXIMUM_KEY;
-    const issueFits =
+    const latestIssueMs = this.options.clock.wall() + MAX_CLOCK_SKEW_MS;
+    const isKeyValid =
+      request.key.length > 0 && request.key.length <= MAX_KEY_LENGTH;
+    const isIssueTimeValid =
       isRepeatable(request, service) ||
-      (request.issuedMs > 0 && request.issuedMs <= latest);
+      (request.issuedMs > 0 && request.issuedMs <= latestIssueMs);
     return (
-      keyFits &&
-      issueFits &&
+      isKeyValid &&
+      isIssueTimeValid &&
       request.timeLeftMs > 0 &&
-      request.body.length <= MAXIMUM_BODY
+      request.body.length <= MAX_BODY_BYTES
     );
   }
 
-  private carryOut(
+  private runAdmitted(
     request: CallerRequest,
     service: Service,
     deadline: number,
@@ -134,7 +142,7 @@
       return this.dispatch(request, service, deadline, () => deadline);
     }
     return request.hops > 0
-      ? this.runGuarded(request, service, deadline)
+      ? this.runLocally(request, service, deadline)
       : this.runAtOwner(request, service, deadline, false);
   }
 
@@ -155,7 +163,7 @@
     });
   }
 
-  private runGuarded(
+  private runLocally(
     request: CallerRequest,
     service: Service,
     deadline: number,
@@ -170,57 +178,68 @@
   }
 
   /**
-   * Hands the request to the daemon that decides its key. Asking twice is
-   * harmless, because that daemon knows the key; `asked` is whether an earlier
-   * try may have reached one.
+   * Runs a request at the owner of its key: here, or by calls to a peer until it
+   * gives a final outcome or the deadline is near. Repeated calls are safe,
+   * because the owner records keys. `mayHaveReached` tells whether an earlier
+   * call may have reached an owner.
    */
   private async runAtOwner(
     request: CallerRequest,
     service: Service,
     deadline: number,
-    asked: boolean,
+    mayHaveReached: boolean,
   ): Promise<Outcome> {
     const {address} = this.options.ownerOf(guardKey(request));
     const {clock, peers} = this.options;
     if (address === undefined) {
-      const outcome = await this.runGuarded(request, service, deadline);
-      return this.tellOfEarlierTry(outcome, asked);
+      const outcome = await this.runLocally(request, service, deadline);
+      return this.replaceNotRunIfReached(outcome, mayHaveReached);
     }
     const timeLeftMs = Math.max(1, Math.floor(deadline - clock.now()));
     const forwarded = {...request, hops: 1, timeLeftMs};
     const result = await peers.forward(address, forwarded, deadline);
-    const outcome = result.match(outcomeOf, () => undefined);
-    const settled =
+    const outcome = result.match(fromCallerReply, () => undefined);
+    const isSettled =
       outcome !== undefined &&
       outcome.reason !== OutcomeReason.KEY_RANGE_NOT_HELD;
-    if (settled || clock.now() + OWNER_RETRY_MS >= deadline) {
-      const silent = ended(
-        asked || result.isErr()
+    if (isSettled || clock.now() + OWNER_RETRY_INTERVAL_MS >= deadline) {
+      const fallback = createOutcome(
+        mayHaveReached || result.isErr()
           ? OutcomeReason.OWNER_SILENT
           : OutcomeReason.KEY_RANGE_NOT_HELD,
         RETRY_AFTER_MS,
       );
-      return this.tellOfEarlierTry(outcome ?? silent, asked);
+      return this.replaceNotRunIfReached(outcome ?? fallback, mayHaveReached);
     }
     await this.pause();
     const reached = result.isErr() && result.error.mayHaveRun;
-    return this.runAtOwner(request, service, deadline, asked || reached);
+    return this.runAtOwner(
+      request,
+      service,
+      deadline,
+      mayHaveReached || reached,
+    );
   }
 
-  /** "Not run" is not said when an earlier try may have run elsewhere. */
-  private tellOfEarlierTry(outcome: Outcome, asked: boolean): Outcome {
+  /** Replaces NOT_RUN by UNKNOWN when an earlier call may have run it. */
+  private replaceNotRunIfReached(
+    outcome: Outcome,
+    mayHaveReached: boolean,
+  ): Outcome {
     const notRun = statusOf(outcome.reason) === RequestStatus.NOT_RUN;
-    return asked && notRun ? ended(OutcomeReason.OWNER_SILENT) : outcome;
+    return mayHaveReached && notRun
+      ? createOutcome(OutcomeReason.OWNER_SILENT)
+      : outcome;
   }
 
   private pause(): Promise<void> {
     const {clock} = this.options;
     return new Promise(resolve => {
-      clock.callAt(clock.now() + OWNER_RETRY_MS, resolve);
+      clock.callAt(clock.now() + OWNER_RETRY_INTERVAL_MS, resolve);
     });
   }
 
-  private record(request: CallerRequest, outcome: Outcome): void {
+  private recordOutcome(request: CallerRequest, outcome: Outcome): void {
     const {counters, timeline} = this.options;
     const status = statusOf(outcome.reason);
     counters.add(
@@ -239,12 +258,12 @@
   }
 }
 
-/** Both the caller and the template must allow repeats. */
+/** Whether both the caller and the template allow retries. */
 function isRepeatable(request: CallerRequest, service: Service): boolean {
   return request.repeatable && service.repeatable;
 }
 
-/** The key as the guard knows it: a key belongs to one service. */
+/** Returns the key for the guard, which is unique across services. */
 export function guardKey(
   request: Pick<CallerRequest, 'workspace' | 'service' | 'key'>,
 ): string {
--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -1,75 +1,78 @@
 /**
- * Requests that wait for a slot: workspaces take turns, and within one the
- * request with the earliest deadline goes first.
+ * Queue of the requests that wait for a slot: round-robin over workspaces, and
+ * earliest deadline first within a workspace.
  */
 
-/** What the queue needs to know of a request. */
+/** The fields of a request that the queue sorts by. */
 export interface QueuedRequest {
   readonly workspace: string;
   /** Monotonic milliseconds. */
   readonly deadline: number;
 }
 
-/** A bounded queue a pool of servers. */
+/** The queue of one server pool, bounded per workspace. */
 export class RequestQueue<T extends QueuedRequest> {
-  /** By workspace, each list in the order of deadlines. */
-  private readonly lists = new Map<string, T[]>();
+  /** By workspace, in the order of service; each sorted by deadline. */
+  private readonly queues = new Map<string, T[]>();
   private count = 0;
 
-  private constructor(private readonly bound: number) {}
+  private constructor(private readonly capacityPerWorkspace: number) {}
 
-  /** Creates a queue; each workspace may have `bound` requests in it. */
-  static create<T extends QueuedRequest>(bound: number): RequestQueue<T> {
-    return new RequestQueue<T>(bound);
+  /** Creates a queue for `capacity` requests per workspace. */
+  static create<T extends QueuedRequest>(capacity: number): RequestQueue<T> {
+    return new RequestQueue<T>(capacity);
   }
 
-  /** Requests of all workspaces. */
+  /** Number of queued requests of all workspaces. */
   get size(): number {
     return this.count;
   }
 
-  /** Requests of one workspace. */
+  /** Returns the number of queued requests of one workspace. */
   sizeOf(workspace: string): number {
-    return this.lists.get(workspace)?.length ?? 0;
+    return this.queues.get(workspace)?.length ?? 0;
   }
 
-  /** Workspaces that have requests waiting. */
+  /** Number of workspaces with queued requests. */
   get workspaces(): number {
-    return this.lists.size;
+    return this.queues.size;
   }
 
-  /** Adds a request; false when the workspace's part is full. */
+  /** Adds a request; false when the workspace's queue is full. */
   add(item: T): boolean {
-    const list = this.lists.get(item.workspace) ?? [];
-    if (list.length >= this.bound) {
+    const list = this.queues.get(item.workspace) ?? [];
+    if (list.length >= this.capacityPerWorkspace) {
       return false;
     }
-    this.lists.set(item.workspace, list);
-    const later = list.findIndex(({deadline}) => deadline > item.deadline);
-    list.splice(later < 0 ? list.length : later, 0, item);
+    this.queues.set(item.workspace, list);
+    const insertAt = list.findIndex(({deadline}) => deadline > item.deadline);
+    list.splice(insertAt < 0 ? list.length : insertAt, 0, item);
     this.count += 1;
     return true;
   }
 
-  /** Takes the next request: the first workspace's, which then goes last. */
+  /**
+   * Removes and returns the next request, and moves its workspace to the end of
+   * the round; undefined when the queue is empty.
+   */
   take(): T | undefined {
-    const first = this.lists.entries().next();
+    const first = this.queues.entries().next();
     if (first.done === true) {
       return undefined;
     }
     const [workspace, list] = first.value;
     const item = list.shift();
-    this.lists.delete(workspace);
+    this.queues.delete(workspace);
     if (list.length > 0) {
-      this.lists.set(workspace, list);
+      this.queues.set(workspace, list);
     }
     this.count -= item === undefined ? 0 : 1;
     return item;
   }
 
-  /** Removes a request; false when it is not waiting any more. */
+  /** Removes a request; false when it is no longer queued. */
   remove(item: T): boolean {
-    const list = this.lists.get(item.workspace) ?? [];
+    const list = this.queues.get(item.workspace) ?? [];
     const position = list.indexOf(item);
     if (position < 0) {
       return false;
@@ -77,7 +80,7 @@
     list.splice(position, 1);
     this.count -= 1;
     if (list.length === 0) {
-      this.lists.delete(item.workspace);
+      this.queues.delete(item.workspace);
     }
     return true;
   }
--- a/src/admission/requests.spec.ts
+++ b/src/admission/requests.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Stateful fuzzing of payments over several daemons against an oracle that
- * counts the runs of each key at the servers.
+ * Stateful fuzzing of non-repeatable requests over several daemons. The servers
+ * count the runs of each key and serve as the oracle.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -136,7 +136,7 @@
   });
 }
 
-test('a payment runs at most once, and every status is true', async () => {
+test('a non-repeatable request runs at most once and its status is accurate', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({min: 1, max: 1_000_000}),
@@ -153,7 +153,7 @@
   );
 });
 
-test('ownership by view alone runs a payment twice', async () => {
+test('without leases and replicated keys a request runs twice', async () => {
   const steps: Step[] = [
     {kind: 'split', pick: 0},
     ...Array.from({length: 6}, (): Step => ({
@@ -169,7 +169,7 @@
   check(await runSteps(5, steps, true));
 });
 
-test('every reason has a status, and the three statuses all occur', () => {
+test('every reason maps to a status, and all three statuses occur', () => {
   const statuses = Object.values(OutcomeReason).map(statusOf);
   assert.equal(new Set(statuses).size, 3);
 });
--- a/src/admission/retry-budget.ts
+++ b/src/admission/retry-budget.ts
@@ -1,41 +1,41 @@
-/** A budget that keeps repeated tries to a share of the first ones. */
+/** Retry budget of a dispatcher: limits retries to a share of requests. */
 
-const DEFAULT_RESERVE = 3;
+const DEFAULT_MAX_BALANCE = 3;
 
-/** Earns a share of a try with each first try; each repeat spends one. */
+/** Token bucket filled by requests, not by time: each retry takes one token. */
 export class RetryBudget {
   private balance: number;
 
   private constructor(
-    /** Repeats a first try pays for, 0 to 1. */
-    private readonly share: number,
-    /** Most that can be saved up, in tries. */
-    private readonly reserve: number,
+    /** Tokens that each request adds, 0 to 1. */
+    private readonly retryShare: number,
+    /** Maximum number of saved tokens, and of overdrawn ones. */
+    private readonly maxBalance: number,
   ) {
-    this.balance = reserve;
+    this.balance = maxBalance;
   }
 
-  /** Creates a budget that starts with its reserve. */
-  static create(share: number, reserve = DEFAULT_RESERVE): RetryBudget {
-    return new RetryBudget(share, reserve);
+  /** Creates a full budget. */
+  static create(share: number, maxBalance = DEFAULT_MAX_BALANCE): RetryBudget {
+    return new RetryBudget(share, maxBalance);
   }
 
-  /** Counts a first try. */
+  /** Adds the share of one request. */
   earn(): void {
-    this.balance = Math.min(this.reserve, this.balance + this.share);
+    this.balance = Math.min(this.maxBalance, this.balance + this.retryShare);
   }
 
-  /** Whether a repeat could be taken. */
+  /** Whether there is a token for a retry. */
   get isOpen(): boolean {
     return this.balance >= 1;
   }
 
-  /** Takes one repeat that is made in any case; the balance may go below 0. */
+  /** Takes a token for a retry made in any case; may overdraw the budget. */
   charge(): void {
-    this.balance = Math.max(-this.reserve, this.balance - 1);
+    this.balance = Math.max(-this.maxBalance, this.balance - 1);
   }
 
-  /** Takes one repeat; false when there is none left. */
+  /** Takes a token; false when there is none left. */
   spend(): boolean {
     if (this.balance < 1) {
       return false;
--- a/src/admission/slot-estimates.ts
+++ b/src/admission/slot-estimates.ts
@@ -1,39 +1,37 @@
 /**
- * What one daemon believes of the slots of a pool's servers.
- *
- * The slots are shared with daemons that do not see each other's counts. Each
- * slot is assigned to one daemon; a daemon uses its own slots
- * freely and borrows others that it believes free. A server's refusal is the
- * truth, and a borrower that finds a server full leaves it alone for a while.
+ * Estimates of the free slots at a pool's servers, for the dispatcher. Daemons
+ * do not see each other's requests, so every slot is assigned to one daemon. A
+ * daemon uses its assigned slots at any time and borrows others that it
+ * estimates to be free; servers that refuse a request are backed off.
  */
 import type {Clock} from '../ports/clock.js';
 import type {Hasher} from '../ports/hasher.js';
 
-/** Time a refused or full server is left alone, in milliseconds. */
-const BORROW_PAUSE_MS = 40;
-/** Times that a pause is doubled, at the most, while a server refuses. */
-const LONGEST_DOUBLINGS = 4;
-/** Time a server that cannot be reached is left alone, in milliseconds. */
-const UNREACHABLE_PAUSE_MS = 1_000;
+/** First backoff of borrowing from a server that is full or refused. */
+const BORROW_BACKOFF_MS = 40;
+/** Maximum number of times that a backoff doubles on repeated refusals. */
+const MAX_BACKOFF_DOUBLINGS = 4;
+const UNREACHABLE_BACKOFF_MS = 1_000;
 
-interface ServerBelief {
+/** The state of one server as this daemon estimates it. */
+interface ServerEstimate {
   readonly id: string;
   readonly slots: number;
   /** Slots assigned to this daemon. */
-  ownSlots: number;
-  /** Requests of this daemon that the server has. */
-  outstanding: number;
-  /** Slots that others used at the server's last reply. */
-  othersBusy: number;
-  /** Until when nothing is sent; monotonic milliseconds. */
-  pausedUntil: number;
-  /** Until when nothing is borrowed; monotonic milliseconds. */
-  borrowPausedUntil: number;
-  /** Refusals since the server last started a request. */
+  assignedSlots: number;
+  /** Requests of this daemon at the server. */
+  inFlight: number;
+  /** Slots used by other daemons, by the server's last reply. */
+  usedByOthers: number;
+  /** No request is sent before this; monotonic milliseconds. */
+  backoffUntil: number;
+  /** No slot is borrowed before this; monotonic milliseconds. */
+  borrowBackoffUntil: number;
+  /** Refusals since the last request that the server did not refuse. */
   refusals: number;
 }
 
-/** What beliefs are made from. */
+/** Options of the estimates. */
 export interface SlotEstimatesOptions {
   readonly clock: Clock;
   readonly hasher: Hasher;
@@ -41,153 +39,167 @@
   readonly self: string;
 }
 
-/** Beliefs of one daemon about one pool. */
+/** Tracks the slots of one pool's servers, as one daemon estimates them. */
 export class SlotEstimates {
-  private servers: ServerBelief[] = [];
-  private turn = 0;
+  private servers: ServerEstimate[] = [];
+  private rotation = 0;
 
   private constructor(private readonly options: SlotEstimatesOptions) {}
 
-  /** Creates beliefs about no server. */
+  /** Creates estimates without servers. */
   static create(options: SlotEstimatesOptions): SlotEstimates {
     return new SlotEstimates(options);
   }
 
-  /** Slots of all servers in use. */
+  /** Number of slots at all eligible servers. */
   get totalSlots(): number {
     return this.servers.reduce((sum, server) => sum + server.slots, 0);
   }
 
-  /** Slots assigned to this daemon. */
-  get ownSlots(): number {
-    return this.servers.reduce((sum, server) => sum + server.ownSlots, 0);
+  /** Number of slots assigned to this daemon. */
+  get assignedSlots(): number {
+    return this.servers.reduce((sum, server) => sum + server.assignedSlots, 0);
   }
 
-  /** Takes the servers that may be used and the daemons that share them. */
-  use(
+  /** Sets the eligible servers and the daemons that share their slots. */
+  setServers(
     servers: readonly {id: string; slots: number}[],
     daemons: readonly string[],
   ): void {
-    const before = new Map(this.servers.map(server => [server.id, server]));
-    const own = this.countOwnSlots(servers, daemons);
+    const previous = new Map(this.servers.map(server => [server.id, server]));
+    const assigned = this.assignSlots(servers, daemons);
     this.servers = servers.map(({id, slots}) => {
-      const known = before.get(id);
+      const known = previous.get(id);
       return {
         id,
         slots,
-        ownSlots: own.get(id) ?? 0,
-        outstanding: known?.outstanding ?? 0,
-        othersBusy: known?.othersBusy ?? 0,
-        pausedUntil: known?.pausedUntil ?? 0,
-        borrowPausedUntil: known?.borrowPausedUntil ?? 0,
+        assignedSlots: assigned.get(id) ?? 0,
+        inFlight: known?.inFlight ?? 0,
+        usedByOthers: known?.usedByOthers ?? 0,
+        backoffUntil: known?.backoffUntil ?? 0,
+        borrowBackoffUntil: known?.borrowBackoffUntil ?? 0,
         refusals: known?.refusals ?? 0,
       };
     });
   }
 
-  /** Whether there is a server that is not excluded. */
-  hasOther(excluded: ReadonlySet<string>): boolean {
+  /** Whether there is a server that is not among `excluded`. */
+  hasServerOutside(excluded: ReadonlySet<string>): boolean {
     return this.servers.some(({id}) => !excluded.has(id));
   }
 
   /**
-   * Takes a slot believed free; undefined when there is none. Borrowing may
-   * cost a refusal, so the caller says whether it may.
+   * Acquires a slot that is estimated to be free and returns its server, or
+   * undefined when there is none. Borrowed slots risk a refusal and are used
+   * only with `mayBorrow`, or when no slot is assigned to this daemon.
    */
-  take(excluded: ReadonlySet<string>, mayBorrow: boolean): string | undefined {
+  acquire(
+    excluded: ReadonlySet<string>,
+    mayBorrow: boolean,
+  ): string | undefined {
     const now = this.options.clock.now();
-    const open = this.inTurn().filter(
-      server => server.pausedUntil <= now && !excluded.has(server.id),
+    const available = this.rotateServers().filter(
+      server => server.backoffUntil <= now && !excluded.has(server.id),
+    );
+    const assigned = available.filter(
+      server => server.inFlight < server.assignedSlots,
     );
-    const own = open.filter(server => server.outstanding < server.ownSlots);
-    const borrows = mayBorrow || this.ownSlots === 0;
-    const borrowed = open.filter(
+    const canBorrow = mayBorrow || this.assignedSlots === 0;
+    const borrowable = available.filter(
       server =>
-        borrows &&
-        server.borrowPausedUntil <= now &&
-        server.outstanding + server.othersBusy < server.slots,
+        canBorrow &&
+        server.borrowBackoffUntil <= now &&
+        server.inFlight + server.usedByOthers < server.slots,
     );
-    const chosen = emptiest(own) ?? emptiest(borrowed);
+    const chosen = leastUtilized(assigned) ?? leastUtilized(borrowable);
     if (chosen !== undefined) {
-      chosen.outstanding += 1;
+      chosen.inFlight += 1;
     }
     return chosen?.id;
   }
 
-  /** Gives a slot back; `busySlots` are those that the reply reported. */
+  /**
+   * Releases a slot after a request has ended. `busySlots` is the number of
+   * other slots in use that the reply reported; undefined without a reply.
+   */
   release(server: string, busySlots?: number): void {
-    const belief = this.find(server);
-    if (belief === undefined) {
+    const estimate = this.find(server);
+    if (estimate === undefined) {
       return;
     }
-    belief.outstanding = Math.max(0, belief.outstanding - 1);
-    belief.refusals = 0;
+    estimate.inFlight = Math.max(0, estimate.inFlight - 1);
+    estimate.refusals = 0;
     if (busySlots === undefined) {
       return;
     }
-    belief.othersBusy = Math.max(0, busySlots - belief.outstanding);
-    const full = busySlots + 1 >= belief.slots;
-    if (full && belief.outstanding >= belief.ownSlots) {
-      belief.borrowPausedUntil = this.options.clock.now() + BORROW_PAUSE_MS;
+    estimate.usedByOthers = Math.max(0, busySlots - estimate.inFlight);
+    const isFull = busySlots + 1 >= estimate.slots;
+    if (isFull && estimate.inFlight >= estimate.assignedSlots) {
+      estimate.borrowBackoffUntil =
+        this.options.clock.now() + BORROW_BACKOFF_MS;
     }
   }
 
   /**
-   * The server refused a request: no slot was free. An own slot is left alone
-   * for `pauseMs`, and for longer when it is refused again.
+   * Releases a slot after the server refused the request. Borrowing backs off
+   * exponentially; so do assigned slots, starting at `backoffMs`, unless the
+   * refused slot was a borrowed one.
    */
-  refuse(server: string, pauseMs: number): void {
-    const belief = this.find(server);
-    if (belief === undefined) {
+  recordRefusal(server: string, backoffMs: number): void {
+    const estimate = this.find(server);
+    if (estimate === undefined) {
       return;
     }
     const now = this.options.clock.now();
-    const borrowed = belief.outstanding > belief.ownSlots;
-    belief.outstanding = Math.max(0, belief.outstanding - 1);
-    belief.refusals += 1;
-    const longer = 2 ** Math.min(belief.refusals - 1, LONGEST_DOUBLINGS);
-    belief.borrowPausedUntil = now + BORROW_PAUSE_MS * longer;
-    belief.pausedUntil = borrowed ? belief.pausedUntil : now + pauseMs * longer;
-    // What others use is forgotten after the pause, so that it is tried again.
-    belief.othersBusy = 0;
+    const wasBorrowed = estimate.inFlight > estimate.assignedSlots;
+    estimate.inFlight = Math.max(0, estimate.inFlight - 1);
+    estimate.refusals += 1;
+    const factor = 2 ** Math.min(estimate.refusals - 1, MAX_BACKOFF_DOUBLINGS);
+    estimate.borrowBackoffUntil = now + BORROW_BACKOFF_MS * factor;
+    estimate.backoffUntil = wasBorrowed
+      ? estimate.backoffUntil
+      : now + backoffMs * factor;
+    // Otherwise a stale count could keep the server unused after the backoff.
+    estimate.usedByOthers = 0;
   }
 
-  /** The server cannot be reached. */
-  avoid(server: string): void {
-    const belief = this.find(server);
-    if (belief !== undefined) {
-      belief.outstanding = Math.max(0, belief.outstanding - 1);
-      belief.pausedUntil = this.options.clock.now() + UNREACHABLE_PAUSE_MS;
+  /** Releases a slot and backs off after the server could not be reached. */
+  recordUnreachable(server: string): void {
+    const estimate = this.find(server);
+    if (estimate !== undefined) {
+      estimate.inFlight = Math.max(0, estimate.inFlight - 1);
+      estimate.backoffUntil = this.options.clock.now() + UNREACHABLE_BACKOFF_MS;
     }
   }
 
-  /** Monotonic milliseconds at which a paused server may be tried again. */
-  nextChance(): number {
+  /** Returns when to look for a slot again, in monotonic milliseconds. */
+  nextRetryTime(): number {
     const now = this.options.clock.now();
     const times = this.servers
-      .flatMap(server => [server.pausedUntil, server.borrowPausedUntil])
+      .flatMap(server => [server.backoffUntil, server.borrowBackoffUntil])
       .filter(time => time > now);
-    return Math.min(now + BORROW_PAUSE_MS, ...times);
+    return Math.min(now + BORROW_BACKOFF_MS, ...times);
   }
 
-  /** The servers from another one on each time, so that equals take turns. */
-  private inTurn(): ServerBelief[] {
-    this.turn = (this.turn + 1) % Math.max(1, this.servers.length);
+  /** Returns the servers, starting one later each time to break ties evenly. */
+  private rotateServers(): ServerEstimate[] {
+    this.rotation = (this.rotation + 1) % Math.max(1, this.servers.length);
     return [
-      ...this.servers.slice(this.turn),
-      ...this.servers.slice(0, this.turn),
+      ...this.servers.slice(this.rotation),
+      ...this.servers.slice(0, this.rotation),
     ];
   }
 
-  private find(server: string): ServerBelief | undefined {
+  private find(server: string): ServerEstimate | undefined {
     return this.servers.find(({id}) => id === server);
   }
 
   /**
-   * Deals the slots out to the daemons in turn, one slot of each server after
-   * the other, so that every daemon has nearly as many as any other.
+   * Returns this daemon's number of slots per server. All daemons compute the
+   * same assignment: slots go to the daemons round-robin, one slot of each
+   * server at a time, so that the daemons' totals differ by at most one.
    */
-  private countOwnSlots(
+  private assignSlots(
     servers: readonly {id: string; slots: number}[],
     daemons: readonly string[],
   ): Map<string, number> {
@@ -198,25 +210,29 @@
       (a, b) => hasher.hashText(a, seed) - hasher.hashText(b, seed),
     );
     const position = ranked.indexOf(self);
-    const most = Math.max(0, ...sorted.map(({slots}) => slots));
-    const dealt = Array.from({length: most}).flatMap((_, slot) =>
+    const maxSlots = Math.max(0, ...sorted.map(({slots}) => slots));
+    const serverOfSlot = Array.from({length: maxSlots}).flatMap((_, slot) =>
       sorted.filter(({slots}) => slot < slots).map(({id}) => id),
     );
-    const own = new Map<string, number>();
-    dealt
+    const assigned = new Map<string, number>();
+    serverOfSlot
       .filter((_, index) => index % ranked.length === position)
-      .forEach(id => own.set(id, (own.get(id) ?? 0) + 1));
-    return own;
+      .forEach(id => assigned.set(id, (assigned.get(id) ?? 0) + 1));
+    return assigned;
   }
 }
 
-/** The server with the smallest share of its slots in use. */
-function emptiest(servers: readonly ServerBelief[]): ServerBelief | undefined {
-  const fill = (server: ServerBelief) =>
-    (server.outstanding + server.othersBusy) / server.slots;
-  return servers.reduce<ServerBelief | undefined>(
+/** Returns the server with the smallest share of its slots in use. */
+function leastUtilized(
+  servers: readonly ServerEstimate[],
+): ServerEstimate | undefined {
+  const utilization = (server: ServerEstimate) =>
+    (server.inFlight + server.usedByOthers) / server.slots;
+  return servers.reduce<ServerEstimate | undefined>(
     (best, server) =>
-      best === undefined || fill(server) < fill(best) ? server : best,
+      best === undefined || utilization(server) < utilization(best)
+        ? server
+        : best,
     undefined,
   );
 }
