--- a/src/configuration/document.ts
+++ b/src/configuration/document.ts
@@ -1,16 +1,16 @@
 /**
- * The configuration document: all templates and workspaces of one revision,
- * with the generations of each address. One value of the store holds it.
+ * The configuration document, stored under one key: all templates and
+ * workspaces of one revision, with the generations of each address.
  */
 import {gunzipSync, gzipSync} from 'node:zlib';
 import {err, ok, type Result} from 'neverthrow';
 import {z} from 'zod';
 
-/** Key of the document in the store. */
+/** Key of the current document in the store. */
 export const DOCUMENT_KEY = 'weldyard/configuration';
 
-/** Edits whose ids a document remembers. */
-export const RECENT_EDITS = 64;
+/** Number of recent edits listed in a document, and of documents kept. */
+export const EDIT_HISTORY_SIZE = 64;
 
 const generationSchema = z.object({
   since: z.number(),
@@ -25,35 +25,37 @@
   revision: z.number(),
   editId: z.string(),
   editor: z.string(),
-  /** Wall milliseconds of the editor's clock. */
+  /** Time of the edit by the operator's clock, in wall milliseconds. */
   atMs: z.number(),
-  /** Names of the sources that the edit set or removed. */
+  /** Names of the sources that the edit added, replaced or removed. */
   changed: z.array(z.string()),
 });
 
 const documentSchema = z.object({
   revision: z.number(),
-  /** Newest last. */
+  /** The most recent edits, oldest first. */
   edits: z.array(editSchema),
-  /** INI text by "template/NAME" or "workspace/NAME". */
+  /** INI texts by "template/NAME" or "workspace/NAME". */
   sources: z.record(z.string(), z.string()),
-  /** Oldest first, by "ip:port". */
+  /** Generations by "ip:port", oldest first. */
   generations: z.record(z.string(), z.array(generationSchema)),
 });
 
 /** One accepted edit. */
 export type AcceptedEdit = z.output<typeof editSchema>;
-/** A generation as the document keeps it. */
+/** A generation of an address as stored in the document. */
 export type StoredGeneration = z.output<typeof generationSchema>;
 /** The configuration of one revision. */
 export type ConfigurationDocument = z.output<typeof documentSchema>;
 
-/** The bytes are no configuration document. */
+/** The stored bytes cannot be decoded as a configuration document. */
 export class DocumentUnreadable extends Error {
   readonly type = 'DocumentUnreadable';
   /** Creates the failure. */
   static create(cause: string): DocumentUnreadable {
-    return new DocumentUnreadable(`configuration document: ${cause}`);
+    return new DocumentUnreadable(
+      `cannot decode the configuration document: ${cause}`,
+    );
   }
 }
 
@@ -65,12 +67,12 @@
   generations: {},
 };
 
-/** Writes a document as compressed JSON. */
+/** Encodes a document as gzip-compressed JSON. */
 export function encodeDocument(document: ConfigurationDocument): Uint8Array {
   return gzipSync(JSON.stringify(document));
 }
 
-/** Reads a document; no bytes are the empty document. */
+/** Decodes a document; no bytes decode to the empty document. */
 export function decodeDocument(
   bytes: Uint8Array,
 ): Result<ConfigurationDocument, DocumentUnreadable> {
--- a/src/configuration/duration.ts
+++ b/src/configuration/duration.ts
@@ -1,4 +1,4 @@
-/** Durations as people write them in files. */
+/** Durations in settings files. */
 
 const UNIT_MS: Readonly<Record<string, number>> = {
   ms: 1,
@@ -9,7 +9,10 @@
 
 const DURATION = /^(?<amount>\d+(\.\d+)?)(?<unit>ms|s|m|h)$/;
 
-/** "250ms", "10s", "5m" or "2h" in milliseconds; undefined for anything else and for 0. */
+/**
+ * Parses a duration such as "250ms", "10s", "5m" or "2h" to milliseconds;
+ * returns undefined when it is malformed or 0.
+ */
 export function parseDuration(text: string): number | undefined {
   const groups = DURATION.exec(text)?.groups;
   const value =
--- a/src/configuration/editor.spec.ts
+++ b/src/configuration/editor.spec.ts
@@ -1,4 +1,4 @@
-/** Edits by several operators through lost answers and outages. */
+/** Concurrent edits by several operators with lost replies and store outages. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
@@ -50,7 +50,7 @@
   downMs: fc.constantFrom(0, 0, 500, 20_000),
 });
 
-test('no accepted edit is lost, overwritten unseen or reverted', async () => {
+test('no accepted edit is lost, silently overwritten or reverted', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({min: 1, max: 1_000_000}),
@@ -126,11 +126,11 @@
       assert.equal(ids.filter(id => id === edit.editId).length, 1);
     } else if ('type' in (result as EditFailure)) {
       const {type} = result as EditFailure;
-      // Only an unsettled edit may turn out to be in force.
+      // Only an unsettled edit may have taken effect.
       assert.ok(type === 'EditUnsettled' || !ids.includes(edit.editId));
     }
   });
-  // The newest accepted edit of each target is what is in force.
+  // The newest accepted edit of each target is in force.
   attempts.forEach(({target}) => {
     const newest = [...last.edits]
       .reverse()
@@ -146,7 +146,7 @@
   );
 }
 
-test('a blind write loses edits that compare-and-swap keeps', async () => {
+test('concurrent edits are both kept, unlike with blind writes', async () => {
   const clock = FakeClock.create();
   const store = MemoryStore.create(clock, Random.create(1));
   const editor = Editor.create(store, clock);
@@ -161,12 +161,12 @@
   const read = await settle(clock, editor.read());
   assert.equal(read._unsafeUnwrap().document.edits.length, 2);
 
-  // The naive tool reads, then writes whatever the version is by then.
+  // The naive tool writes at the newest version, not at the one it read.
   const naive = await settle(clock, blindWrites(store, clock));
   assert.equal(naive, 1);
 });
 
-/** Two tools that write what they read, changed; returns the edits kept. */
+/** Runs two blind writers concurrently and returns the number of edits kept. */
 async function blindWrites(
   store: MemoryStore,
   clock: FakeClock,
@@ -189,7 +189,7 @@
   return new TextDecoder().decode(last.value).split(';').length - 1;
 }
 
-test('two edits that are each right and wrong together are not both taken', async () => {
+test('of two valid edits that conflict with each other one is rejected', async () => {
   const clock = FakeClock.create();
   const store = MemoryStore.create(clock, Random.create(2));
   const editor = Editor.create(store, clock);
--- a/src/configuration/editor.ts
+++ b/src/configuration/editor.ts
@@ -1,7 +1,6 @@
 /**
- * Edits of the configuration: compare-and-swap against the revision read,
- * with an edit id that tells whether an edit took effect when its answer was
- * lost.
+ * Edits the configuration document in the store by compare-and-swap. The edit's
+ * id in the document tells whether it took effect when the reply was lost.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {match} from 'ts-pattern';
@@ -9,7 +8,7 @@
 import type {Store, StoreFailure, StoredValue} from '../ports/store.js';
 import {
   DOCUMENT_KEY,
-  RECENT_EDITS,
+  EDIT_HISTORY_SIZE,
   decodeDocument,
   encodeDocument,
   type AcceptedEdit,
@@ -19,24 +18,24 @@
 import type {ConfigurationFaults} from './faults.js';
 import {nextDocument, type Edit} from './revision.js';
 
-const PAUSE_MS = 100;
-const MAXIMUM_REBASES = 20;
+const READ_RETRY_INTERVAL_MS = 100;
+const MAX_REBASES = 20;
 
-/** Somebody else's edit came first. */
+/** Another edit was accepted after the revision that this one is based on. */
 export class EditConflict extends Error {
   readonly type = 'EditConflict';
 
   private constructor(
-    /** The revision that the edit was made against. */
+    /** The revision that the edit is based on. */
     readonly base: number,
-    /** The edits accepted since, oldest first. */
+    /** The edits accepted since that revision, oldest first. */
     readonly others: readonly AcceptedEdit[],
     message: string,
   ) {
     super(message);
   }
 
-  /** Creates the conflict of an edit made against `base`. */
+  /** Creates the conflict of an edit based on revision `base`. */
   static create(base: number, others: readonly AcceptedEdit[]): EditConflict {
     const list = others
       .map(
@@ -44,24 +43,24 @@
           `${edit.revision} by ${edit.editor}: ${edit.changed.join(', ')}`,
       )
       .join('; ');
-    const message = `the configuration is past revision ${base}: ${list}`;
+    const message = `the configuration changed after revision ${base}: ${list}`;
     return new EditConflict(base, others, message);
   }
 }
 
-/** The store did not answer until the deadline; the edit may be in it. */
+/** The store did not reply by the deadline; the edit may have taken effect. */
 export class EditUnsettled extends Error {
   readonly type = 'EditUnsettled';
   /** Creates the failure for one edit. */
   static create(editId: string, cause: StoreFailure): EditUnsettled {
     return new EditUnsettled(
       `edit ${editId} may or may not have taken effect (${cause.message}); ` +
-        'run "weldyard history" when the store is back',
+        'run "weldyard history" when the store is available again',
     );
   }
 }
 
-/** Why an edit was not made, or is not known to be made. */
+/** Why an edit was rejected, failed or has an unknown result. */
 export type EditFailure =
   | ConfigurationFaults
   | DocumentUnreadable
@@ -69,19 +68,19 @@
   | EditUnsettled
   | StoreFailure;
 
-/** A document and the store version that it was read at. */
+/** A document and its version in the store. */
 export interface ReadDocument {
   readonly document: ConfigurationDocument;
   readonly version: number;
 }
 
-/** What an edit may depend on. */
+/** Options of an edit. */
 export interface EditOptions {
-  /** Revision the operator looked at; undefined: whatever is newest. */
+  /** Revision that the edit is based on; undefined: the newest. */
   readonly base?: number;
-  /** Whether to make the edit on top of others' edits. */
+  /** Whether to apply the edit on top of later ones instead of failing. */
   readonly rebase: boolean;
-  /** Monotonic milliseconds until which the store is asked. */
+  /** Time until which store calls are repeated, in monotonic milliseconds. */
   readonly deadline: number;
 }
 
@@ -105,7 +104,7 @@
     return stored.andThen(value => decodeStored(value));
   }
 
-  /** Reads an earlier document that is still kept. */
+  /** Reads the document of a revision; undefined when it is not kept. */
   async readRevision(
     revision: number,
   ): Promise<
@@ -123,7 +122,7 @@
       );
   }
 
-  /** Makes an edit; the result is the document that holds it. */
+  /** Applies an edit and returns the document that contains it. */
   async apply(
     edit: Edit,
     options: EditOptions,
@@ -136,21 +135,21 @@
     const base = options.base ?? document.revision;
     return base < document.revision && !options.rebase
       ? err(EditConflict.create(base, editsSince(document, base)))
-      : this.swap(read.value, edit, options, 0);
+      : this.trySwap(read.value, edit, options, 0);
   }
 
-  /** Tries the swap, and after a lost answer finds out what became of it. */
-  private async swap(
+  /** Writes the next document; when that fails, determines why. */
+  private async trySwap(
     read: ReadDocument,
     edit: Edit,
     options: EditOptions,
-    tries: number,
+    attempts: number,
   ): Promise<Result<ConfigurationDocument, EditFailure>> {
     const next = nextDocument(read.document, edit);
     if (next.isErr()) {
       return err(next.error);
     }
-    await this.keepHistory(read.document);
+    await this.saveToHistory(read.document);
     const outcome = await this.store.compareAndSwap(
       DOCUMENT_KEY,
       encodeDocument(next.value),
@@ -162,32 +161,39 @@
     if (outcome.isErr() && outcome.error.type === 'ValueTooLarge') {
       return err(outcome.error);
     }
-    const now = await this.readUntil(edit, options.deadline);
-    return now.isErr()
-      ? err(now.error)
-      : this.afterLostSwap(read, now.value, edit, options, tries);
+    const current = await this.readWithRetries(edit, options.deadline);
+    return current.isErr()
+      ? err(current.error)
+      : this.resolveFailedSwap(read, current.value, edit, options, attempts);
   }
 
-  private async afterLostSwap(
+  /**
+   * Decides on a swap that failed or had no reply, from the document read after
+   * it: the edit took effect, is tried again, or conflicts with another one.
+   */
+  private async resolveFailedSwap(
     before: ReadDocument,
-    now: ReadDocument,
+    current: ReadDocument,
     edit: Edit,
     options: EditOptions,
-    tries: number,
+    attempts: number,
   ): Promise<Result<ConfigurationDocument, EditFailure>> {
-    const own = now.document.edits.some(({editId}) => editId === edit.editId);
-    if (own) {
-      return ok(now.document);
+    const tookEffect = current.document.edits.some(
+      ({editId}) => editId === edit.editId,
+    );
+    if (tookEffect) {
+      return ok(current.document);
     }
-    const moved = now.version !== before.version;
-    const mayRetry = !moved || (options.rebase && tries < MAXIMUM_REBASES);
+    const hasChanged = current.version !== before.version;
+    const mayRetry = !hasChanged || (options.rebase && attempts < MAX_REBASES);
     const base = before.document.revision;
     return mayRetry && this.clock.now() < options.deadline
-      ? this.swap(now, edit, options, tries + 1)
-      : err(EditConflict.create(base, editsSince(now.document, base)));
+      ? this.trySwap(current, edit, options, attempts + 1)
+      : err(EditConflict.create(base, editsSince(current.document, base)));
   }
 
-  private async readUntil(
+  /** Reads the newest document, repeatedly until the deadline. */
+  private async readWithRetries(
     edit: Edit,
     deadline: number,
   ): Promise<Result<ReadDocument, EditUnsettled | DocumentUnreadable>> {
@@ -202,24 +208,25 @@
       return err(EditUnsettled.create(edit.editId, read.error));
     }
     await new Promise<void>(resolve => {
-      this.clock.callAt(this.clock.now() + PAUSE_MS, resolve);
+      this.clock.callAt(this.clock.now() + READ_RETRY_INTERVAL_MS, resolve);
     });
-    return this.readUntil(edit, deadline);
+    return this.readWithRetries(edit, deadline);
   }
 
   /**
-   * Keeps the document that is about to be replaced. Whoever makes the next
-   * edit writes it, so a tool that dies after its own swap loses nothing.
+   * Copies the document that is about to be replaced to the history. Doing so
+   * before the swap means that a crash after it loses no revision.
    */
-  private async keepHistory(document: ConfigurationDocument): Promise<void> {
+  private async saveToHistory(document: ConfigurationDocument): Promise<void> {
     if (document.revision === 0) {
       return;
     }
     const key = historyKey(document.revision);
     const stored = await this.store.get(key);
-    const kept = stored.isOk() ? decodeStored(stored.value) : undefined;
-    const known = kept?.isOk() === true ? kept.value.document.revision : 0;
-    if (stored.isOk() && known < document.revision) {
+    const saved = stored.isOk() ? decodeStored(stored.value) : undefined;
+    const savedRevision =
+      saved?.isOk() === true ? saved.value.document.revision : 0;
+    if (stored.isOk() && savedRevision < document.revision) {
       await this.store.compareAndSwap(
         key,
         encodeDocument(document),
@@ -229,9 +236,9 @@
   }
 }
 
-/** Documents are kept in a ring of keys, so that the store does not fill up. */
+/** Returns the key of a past revision; keys are reused as a ring buffer. */
 function historyKey(revision: number): string {
-  return `weldyard/history/${revision % RECENT_EDITS}`;
+  return `weldyard/history/${revision % EDIT_HISTORY_SIZE}`;
 }
 
 function decodeStored(
@@ -250,23 +257,29 @@
   return document.edits.filter(({revision}) => revision > base);
 }
 
-/** What a person may do about a failed edit. */
+/** Returns what the operator can do about a failed edit. */
 export function adviceFor(failure: EditFailure): string {
   return match(failure)
-    .with({type: 'ConfigurationFaults'}, () => 'mend the file and apply again')
+    .with(
+      {type: 'ConfigurationFaults'},
+      () => 'correct the file and apply it again',
+    )
     .with(
       {type: 'EditConflict'},
-      () => 'look at the other edits, then apply again with --rebase',
+      () => 'review the other edits, then apply again with --rebase',
     )
     .with(
       {type: 'EditUnsettled'},
-      () => 'look for the edit id in "weldyard history"',
+      () => 'look for the id of the edit in "weldyard history"',
     )
     .with(
       {type: 'StoreUnavailable'},
-      () => 'nothing was changed; apply again when the store is back',
+      () => 'nothing was changed; apply again when the store is available',
     )
     .with({type: 'ValueTooLarge'}, () => 'remove workspaces or shorten texts')
-    .with({type: 'DocumentUnreadable'}, () => 'look at the store')
+    .with(
+      {type: 'DocumentUnreadable'},
+      () => 'check the configuration document in the store',
+    )
     .exhaustive();
 }
--- a/src/configuration/faults.ts
+++ b/src/configuration/faults.ts
@@ -1,17 +1,17 @@
-/** Faults of files that people write. */
+/** Faults of configuration and settings files. */
 
-/** One fault: where it is, what is wrong and what would be right. */
+/** One fault of a file: its place, what is wrong and how to correct it. */
 export interface Fault {
   readonly file: string;
-  /** Section name; empty at the top of the file. */
+  /** Section name; empty for a section or a line before the first one. */
   readonly section: string;
-  /** Key name; empty when the section itself is at fault. */
+  /** Key name; empty when the fault is not in one key. */
   readonly key: string;
   readonly wrong: string;
   readonly right: string;
 }
 
-/** All faults of a file or of a set of files. */
+/** All faults that were found in a file or a set of files. */
 export class ConfigurationFaults extends Error {
   readonly type = 'ConfigurationFaults';
 
@@ -19,16 +19,16 @@
     super(faults.map(formatFault).join('\n'));
   }
 
-  /** Creates the failure from at least one fault. */
+  /** Creates the error from at least one fault. */
   static create(faults: readonly Fault[]): ConfigurationFaults {
     return new ConfigurationFaults(faults);
   }
 }
 
-/** One line for people. */
+/** Formats a fault as one line, "FILE: [SECTION] KEY: WRONG; RIGHT". */
 export function formatFault(fault: Fault): string {
   const section = fault.section === '' ? '' : ` [${fault.section}]`;
   const key = fault.key === '' ? '' : ` ${fault.key}`;
-  const place = section + key === '' ? '' : `${section}${key}:`;
-  return `${fault.file}:${place} ${fault.wrong}; ${fault.right}`;
+  const location = section + key === '' ? '' : `${section}${key}:`;
+  return `${fault.file}:${location} ${fault.wrong}; ${fault.right}`;
 }
--- a/src/configuration/ini-file.spec.ts
+++ b/src/configuration/ini-file.spec.ts
@@ -33,7 +33,7 @@
   );
 }
 
-test('a template is read with its defaults', () => {
+test('missing keys of a template get their defaults', () => {
   const read = readIniFile({file: 't', text: TEMPLATE}, templateSchema);
   const template = read._unsafeUnwrap();
   assert.equal(template.flows['idle-limit'], 7_200_000);
@@ -41,7 +41,7 @@
   assert.equal(template.requests.repeatable, false);
 });
 
-test('all faults of a file are told at once, with section and key', () => {
+test('all faults of a file are reported at once, with section and key', () => {
   const text = `
 [template]
 name = Meter Pay
@@ -61,13 +61,13 @@
   );
 });
 
-test('repeated keys, repeated sections and garbage lines are faults', () => {
+test('duplicate keys, duplicate sections and malformed lines are faults', () => {
   const text = `${TEMPLATE}\nlifetime = 1h\nlifetime = 2h\n[server]\nwhat is this\n`;
   const faults = faultsOf(text, templateSchema);
   assert.equal(faults.length, 3);
 });
 
-test('missing sections are named', () => {
+test('missing sections are reported by name', () => {
   const faults = faultsOf('', processSettingsSchema);
   assert.deepEqual(faults.map(({key}) => key).sort(), [
     'daemon',
@@ -76,7 +76,7 @@
   ]);
 });
 
-test('a server line takes a weight, and nothing else', () => {
+test('a server accepts a weight above 0 only', () => {
   const read = readIniFile({file: 'w', text: WORKSPACE}, workspaceSchema);
   assert.deepEqual(read._unsafeUnwrap().service['meterpay'].servers, [
     {id: '127.0.0.1:9000', weight: 1},
@@ -89,7 +89,7 @@
   );
 });
 
-test('an address used by two services is refused, and names the other', () => {
+test('an address used by two services is rejected with the name of the other', () => {
   const faults = compileServices({
     'template/meterpay': TEMPLATE,
     'workspace/parkwise': WORKSPACE,
@@ -104,7 +104,7 @@
   assert.match(faults[0].wrong, /already used by parkwise\/meterpay/);
 });
 
-test('no text makes the reader throw', () => {
+test('arbitrary text never makes the reader throw', () => {
   fc.assert(
     fc.property(fc.string({unit: 'binary', maxLength: 300}), text => {
       [templateSchema, workspaceSchema, processSettingsSchema].forEach(
--- a/src/configuration/ini-file.ts
+++ b/src/configuration/ini-file.ts
@@ -1,10 +1,10 @@
-/** INI files checked against a schema; all faults are found at once. */
+/** Reads INI files against a schema and reports all faults of a file at once. */
 import {parse} from 'ini';
 import {err, ok, type Result} from 'neverthrow';
 import {z} from 'zod';
 import {ConfigurationFaults, type Fault} from './faults.js';
 
-/** The text of a file and the name to show for it. */
+/** The text of a file and its name for messages. */
 export interface SourceText {
   readonly file: string;
   readonly text: string;
@@ -15,24 +15,28 @@
 const COMMENT_LINE = /^[;#]/;
 const LIST_SUFFIX = '[]';
 
-/** Reads a file into a schema's type. */
+/** Parses a file and returns the schema's output, or every fault found. */
 export function readIniFile<T extends z.ZodType>(
   source: SourceText,
   schema: T,
 ): Result<z.output<T>, ConfigurationFaults> {
   const lineFaults = findLineFaults(source);
-  const parsed = schema.safeParse(plain(parse(readableLines(source.text))));
+  const parsed = schema.safeParse(
+    toPlainObject(parse(keepParsableLines(source.text))),
+  );
   const schemaFaults = parsed.success
     ? []
-    : parsed.error.issues.flatMap(issue => faultsOf(issue, source, schema));
+    : parsed.error.issues.flatMap(issue =>
+        issueToFaults(issue, source, schema),
+      );
   const faults = [...lineFaults, ...schemaFaults];
   return faults.length === 0 && parsed.success
     ? ok(parsed.data)
     : err(ConfigurationFaults.create(faults));
 }
 
-/** The text without lines that are told of as garbage. */
-function readableLines(text: string): string {
+/** Removes lines that are neither a section nor a key. */
+function keepParsableLines(text: string): string {
   return text
     .split(/\r?\n/)
     .filter(raw => {
@@ -42,12 +46,12 @@
     .join('\n');
 }
 
-/** The library's objects have no prototype; schemas want plain ones. */
-function plain(value: unknown): unknown {
+/** Converts the INI library's objects, which have no prototype. */
+function toPlainObject(value: unknown): unknown {
   return JSON.parse(JSON.stringify(value));
 }
 
-/** Lines that the library would take without a word: repeats and garbage. */
+/** Finds duplicate and malformed lines, which the INI library accepts. */
 function findLineFaults(source: SourceText): Fault[] {
   const seen = new Set<string>();
   let section = '';
@@ -56,83 +60,92 @@
     if (line === '' || COMMENT_LINE.test(line)) {
       return [];
     }
-    const heading = SECTION_LINE.exec(line)?.groups?.['name'];
-    if (heading !== undefined) {
-      section = heading;
-      return repeated(seen, `[${section}]`)
-        ? [sectionRepeated(source, section)]
+    const sectionName = SECTION_LINE.exec(line)?.groups?.['name'];
+    if (sectionName !== undefined) {
+      section = sectionName;
+      return isDuplicate(seen, `[${section}]`)
+        ? [duplicateSectionFault(source, section)]
         : [];
     }
     const key = KEY_LINE.exec(line)?.groups?.['key'];
     if (key === undefined) {
-      return [notAKey(source, section, index + 1)];
+      return [malformedLineFault(source, section, index + 1)];
     }
-    return !key.endsWith(LIST_SUFFIX) && repeated(seen, `${section}\n${key}`)
-      ? [keyRepeated(source, section, key)]
+    return !key.endsWith(LIST_SUFFIX) && isDuplicate(seen, `${section}\n${key}`)
+      ? [duplicateKeyFault(source, section, key)]
       : [];
   });
 }
 
-function repeated(seen: Set<string>, name: string): boolean {
-  const known = seen.has(name);
+/** Returns whether `seen` contains a name, and adds it. */
+function isDuplicate(seen: Set<string>, name: string): boolean {
+  const wasSeen = seen.has(name);
   seen.add(name);
-  return known;
+  return wasSeen;
 }
 
-function sectionRepeated(source: SourceText, section: string): Fault {
+function duplicateSectionFault(source: SourceText, section: string): Fault {
   return {
     file: source.file,
     section,
     key: '',
-    wrong: 'the section is there twice',
-    right: 'join the two sections',
+    wrong: 'the section is duplicated',
+    right: 'merge the two sections',
   };
 }
 
-function keyRepeated(source: SourceText, section: string, key: string): Fault {
+function duplicateKeyFault(
+  source: SourceText,
+  section: string,
+  key: string,
+): Fault {
   return {
     file: source.file,
     section,
     key,
-    wrong: 'the key is there twice',
+    wrong: 'the key is duplicated',
     right: 'keep one of the two lines',
   };
 }
 
-function notAKey(source: SourceText, section: string, line: number): Fault {
+function malformedLineFault(
+  source: SourceText,
+  section: string,
+  line: number,
+): Fault {
   return {
     file: source.file,
     section,
     key: '',
     wrong: `line ${line} is neither a section nor "key = value"`,
-    right: 'write "key = value", or put ; in front of a comment',
+    right: 'write "key = value", or start a comment with ;',
   };
 }
 
-function faultsOf(
+function issueToFaults(
   issue: z.core.$ZodIssue,
   source: SourceText,
   schema: z.ZodType,
 ): Fault[] {
   const path = issue.path.map(String);
   if (issue.code === 'unrecognized_keys') {
-    return issue.keys.map(key => unknownKey(source, path, key, schema));
+    return issue.keys.map(key => unknownKeyFault(source, path, key, schema));
   }
   const key = path[path.length - 1] ?? '';
   const isIndex = /^\d+$/.test(key);
-  const place = isIndex ? path.slice(0, -1) : path;
+  const location = isIndex ? path.slice(0, -1) : path;
   return [
     {
       file: source.file,
-      section: place.slice(0, -1).join('.'),
-      key: place[place.length - 1] ?? '',
-      wrong: describe(issue, isIndex ? Number(key) : undefined),
+      section: location.slice(0, -1).join('.'),
+      key: location[location.length - 1] ?? '',
+      wrong: describeValue(issue, isIndex ? Number(key) : undefined),
       right: issue.message,
     },
   ];
 }
 
-function unknownKey(
+function unknownKeyFault(
   source: SourceText,
   path: readonly string[],
   key: string,
@@ -143,11 +156,11 @@
     section: path.join('.'),
     key,
     wrong: path.length === 0 ? 'unknown section' : 'unknown key',
-    right: `known here: ${knownKeys(schema, path).join(', ')}`,
+    right: `use one of: ${knownKeys(schema, path).join(', ')}`,
   };
 }
 
-/** The keys that a schema has at a path. */
+/** Returns the keys of the schema at a path; empty when it has none. */
 function knownKeys(schema: z.ZodType, path: readonly string[]): string[] {
   const found = path.reduce<unknown>(
     (current, key) => childOf(unwrap(current), key),
@@ -172,10 +185,13 @@
   return wrapped ? unwrap(schema.unwrap()) : schema;
 }
 
-function describe(issue: z.core.$ZodIssue, index: number | undefined): string {
-  const place = index === undefined ? '' : `value ${index + 1} `;
+function describeValue(
+  issue: z.core.$ZodIssue,
+  index: number | undefined,
+): string {
+  const prefix = index === undefined ? '' : `value ${index + 1} `;
   const input = issue.input;
   return input === undefined
-    ? `${place}is missing`
-    : `${place}is ${JSON.stringify(input)}`;
+    ? `${prefix}is missing`
+    : `${prefix}is ${JSON.stringify(input)}`;
 }
--- a/src/configuration/process-settings.ts
+++ b/src/configuration/process-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a daemon process: addresses, failure domain, limits. */
+/** Schema of a daemon's settings: addresses, failure domain, limits. */
 import {z} from 'zod';
 import {
   fraction,
@@ -9,11 +9,12 @@
   wholeNumber,
 } from './values.js';
 
-const HIGHEST_ENTRIES = 50_000_000;
+const MAX_ENTRIES = 50_000_000;
 const STREAM_MESSAGE =
-  'write "listen-ip:port = service-ip:port" as one value "127.0.0.1:7001>10.20.0.1:443"';
+  'write "listen-ip:port>service-ip:port", such as "127.0.0.1:7001>10.20.0.1:443"';
 
-const streamLine = z
+/** Parses "listen-ip:port>service-ip:port". */
+const streamSetting = z
   .string({error: STREAM_MESSAGE})
   .transform((line, context) => {
     const parts = line.split('>').map(part => part.trim());
@@ -43,7 +44,7 @@
       peers: socketAddress(),
       requests: socketAddress(),
       control: socketAddress(),
-      streams: z.array(streamLine, {error: STREAM_MESSAGE}).default([]),
+      streams: z.array(streamSetting, {error: STREAM_MESSAGE}).default([]),
     },
     {error: 'add a section [listen] with fabric, peers, requests and control'},
   ),
@@ -54,9 +55,7 @@
   routing: z
     .strictObject({
       policy: oneOf(['weldyard', 'naive', 'all-flows']).prefault('weldyard'),
-      'maximum-entries': wholeNumber(1_000, HIGHEST_ENTRIES).prefault(
-        '1000000',
-      ),
+      'maximum-entries': wholeNumber(1_000, MAX_ENTRIES).prefault('1000000'),
     })
     .prefault({}),
   requests: z
@@ -81,5 +80,5 @@
     .prefault({}),
 });
 
-/** A daemon's settings as read. */
+/** The settings of a daemon. */
 export type ProcessSettings = z.output<typeof processSettingsSchema>;
--- a/src/configuration/revision.ts
+++ b/src/configuration/revision.ts
@@ -1,4 +1,7 @@
-/** The step from one revision of the document to the next, and to routing. */
+/**
+ * Applies edits to the configuration document, and compiles a document for
+ * routing. Used by the editor and by daemons.
+ */
 import {err, ok, type Result} from 'neverthrow';
 import {parseSocketAddress} from '../routing/ipv4.js';
 import type {
@@ -6,7 +9,7 @@
   RoutingRevision,
 } from '../routing/routed-address.js';
 import {
-  RECENT_EDITS,
+  EDIT_HISTORY_SIZE,
   type AcceptedEdit,
   type ConfigurationDocument,
   type StoredGeneration,
@@ -14,29 +17,30 @@
 import type {ConfigurationFaults} from './faults.js';
 import {compileServices, type Service, type Sources} from './services.js';
 
-/** Generations an address keeps at the most; the oldest go first. */
-const MAXIMUM_GENERATIONS = 16;
+/** Limits the stored generations; the oldest ones are dropped. */
+const MAX_GENERATIONS_PER_ADDRESS = 16;
 
-/** Lifetime kept for an address that no service uses any more. */
-const RELEASED_LIFETIME_MS = 12 * 3_600_000;
+/** Flow lifetime of an address that no service uses any more. */
+const RELEASED_ADDRESS_LIFETIME_MS = 12 * 3_600_000;
 
-/** An edit that is to be made. */
+/** An edit to be applied. */
 export interface Edit {
   readonly editId: string;
   readonly editor: string;
+  /** Time of the edit by the operator's clock, in wall milliseconds. */
   readonly atMs: number;
   /** New texts by source name; null removes a source. */
   readonly changes: Readonly<Record<string, string | null>>;
 }
 
-/** The document that an edit makes of an earlier one. */
+/** Applies an edit to a document and returns the next revision. */
 export function nextDocument(
-  before: ConfigurationDocument,
+  previous: ConfigurationDocument,
   edit: Edit,
 ): Result<ConfigurationDocument, ConfigurationFaults> {
-  const sources = applyChanges(before.sources, edit.changes);
+  const sources = applyChanges(previous.sources, edit.changes);
   return compileServices(sources).map(services => {
-    const revision = before.revision + 1;
+    const revision = previous.revision + 1;
     const accepted: AcceptedEdit = {
       revision,
       editId: edit.editId,
@@ -46,9 +50,9 @@
     };
     return {
       revision,
-      edits: [...before.edits, accepted].slice(-RECENT_EDITS),
+      edits: [...previous.edits, accepted].slice(-EDIT_HISTORY_SIZE),
       sources,
-      generations: nextGenerations(before, services, revision, edit.atMs),
+      generations: nextGenerations(previous, services, revision, edit.atMs),
     };
   });
 }
@@ -60,8 +64,9 @@
   );
 }
 
+/** Adds new generations and removes those whose flow lifetime has passed. */
 function nextGenerations(
-  before: ConfigurationDocument,
+  previous: ConfigurationDocument,
   services: readonly Service[],
   revision: number,
   atMs: number,
@@ -70,30 +75,33 @@
     services.map(service => [service.address, service]),
   );
   const addresses = new Set([
-    ...Object.keys(before.generations),
+    ...Object.keys(previous.generations),
     ...byAddress.keys(),
   ]);
   const entries = [...addresses].map(address => {
     const service = byAddress.get(address);
-    const lifetime = service?.lifetimeMs ?? RELEASED_LIFETIME_MS;
-    const known = (before.generations[address] ?? []).filter(
+    const lifetime = service?.lifetimeMs ?? RELEASED_ADDRESS_LIFETIME_MS;
+    const retained = (previous.generations[address] ?? []).filter(
       ({endedAtMs}) => endedAtMs === undefined || endedAtMs + lifetime > atMs,
     );
-    return [address, extend(known, service, revision, atMs)] as const;
+    return [
+      address,
+      appendGeneration(retained, service, revision, atMs),
+    ] as const;
   });
   return Object.fromEntries(
-    entries.filter(([, generations]) => isUsed(generations)),
+    entries.filter(([, generations]) => hasRetainedServers(generations)),
   );
 }
 
-/** Adds a generation when the newest one says something else. */
-function extend(
-  known: readonly StoredGeneration[],
+/** Appends a generation if the newest one differs from the service. */
+function appendGeneration(
+  retained: readonly StoredGeneration[],
   service: Service | undefined,
   revision: number,
   atMs: number,
 ): StoredGeneration[] {
-  const newest = known[known.length - 1];
+  const newest = retained[retained.length - 1];
   const next: StoredGeneration = {
     since: revision,
     workspace: service?.workspace ?? newest?.workspace ?? '',
@@ -101,38 +109,40 @@
     flexibleShare: service?.flexibleShare ?? 0,
     servers: (service?.servers ?? []).map(({id, weight}) => ({id, weight})),
   };
-  if (newest !== undefined && saysTheSame(newest, next)) {
-    return [...known];
+  if (newest !== undefined && isEquivalent(newest, next)) {
+    return [...retained];
   }
-  const ended = known.map((generation, index) =>
-    index === known.length - 1 ? {...generation, endedAtMs: atMs} : generation,
+  const ended = retained.map((generation, index) =>
+    index === retained.length - 1
+      ? {...generation, endedAtMs: atMs}
+      : generation,
   );
-  return [...ended, next].slice(-MAXIMUM_GENERATIONS);
+  return [...ended, next].slice(-MAX_GENERATIONS_PER_ADDRESS);
 }
 
-function saysTheSame(a: StoredGeneration, b: StoredGeneration): boolean {
-  const told = (generation: StoredGeneration) =>
+function isEquivalent(a: StoredGeneration, b: StoredGeneration): boolean {
+  const serialize = (generation: StoredGeneration) =>
     JSON.stringify([
       generation.workspace,
       generation.service,
       generation.flexibleShare,
       generation.servers.map(({id, weight}) => `${id}*${weight}`).sort(),
     ]);
-  return told(a) === told(b);
+  return serialize(a) === serialize(b);
 }
 
-/** A released address is kept while its flows may be open. */
-function isUsed(generations: readonly StoredGeneration[]): boolean {
+/** Whether a generation has servers; otherwise the address is removed. */
+function hasRetainedServers(generations: readonly StoredGeneration[]): boolean {
   return generations.some(({servers}) => servers.length > 0);
 }
 
-/** What routing needs of a document, with its services. */
+/** The routing table of a document, with its services. */
 export interface CompiledRevision {
   readonly routing: RoutingRevision;
   readonly services: readonly Service[];
 }
 
-/** Compiles a document. */
+/** Compiles a document; fails with the faults of its sources. */
 export function compileDocument(
   document: ConfigurationDocument,
 ): Result<CompiledRevision, ConfigurationFaults> {
@@ -168,9 +178,9 @@
           connectionLimit: service?.connections ?? 0,
           warmUpMs: service?.warmUpMs ?? 1,
           idleLimitSeconds: Math.ceil(
-            (service?.idleLimitMs ?? RELEASED_LIFETIME_MS) / 1_000,
+            (service?.idleLimitMs ?? RELEASED_ADDRESS_LIFETIME_MS) / 1_000,
           ),
-          flowLifetimeMs: service?.lifetimeMs ?? RELEASED_LIFETIME_MS,
+          flowLifetimeMs: service?.lifetimeMs ?? RELEASED_ADDRESS_LIFETIME_MS,
           generations,
         },
       ];
--- a/src/configuration/services.ts
+++ b/src/configuration/services.ts
@@ -1,4 +1,4 @@
-/** Services: templates and workspaces put together and checked as a whole. */
+/** Compiles templates and workspaces to services and checks them together. */
 import {err, ok, type Result} from 'neverthrow';
 import type {z} from 'zod';
 import {ConfigurationFaults, type Fault} from './faults.js';
@@ -7,19 +7,19 @@
 import type {ServerParameter} from './values.js';
 import {workspaceSchema, type Workspace} from './workspace.js';
 
-/** One service of one workspace with all its parameters. */
+/** A service of a workspace with the parameters of its template. */
 export interface Service {
   readonly workspace: string;
   readonly name: string;
   readonly template: string;
-  /** "ip:port" that callers use. */
+  /** "ip:port" that clients connect to. */
   readonly address: string;
   readonly servers: readonly ServerParameter[];
-  /** Services of one pool share their servers. */
+  /** Name of the server pool; services of the same pool share its servers. */
   readonly pool: string;
-  /** Requests that a server runs at once. */
+  /** Number of requests that a server runs concurrently. */
   readonly slots: number;
-  /** Open flows that a server takes. */
+  /** Maximum number of open flows per server. */
   readonly connections: number;
   readonly warmUpMs: number;
   /** Share of flows, 0 to 1, that may be placed by load. */
@@ -27,11 +27,11 @@
   readonly idleLimitMs: number;
   readonly lifetimeMs: number;
   readonly repeatable: boolean;
-  /** Longest time a request may take, in milliseconds. */
+  /** Maximum time that a request may take, in milliseconds. */
   readonly deadlineMs: number;
-  /** Requests that may wait for a slot. */
+  /** Maximum number of requests per workspace that wait for a slot. */
   readonly queue: number;
-  /** Requests of the whole workspace in flight at one daemon. */
+  /** Maximum number of the workspace's requests in flight at one daemon. */
   readonly requestsInFlight: number;
 }
 
@@ -46,12 +46,12 @@
 /** One of the kinds in `SourceKind`. */
 export type SourceKind = (typeof SourceKind)[keyof typeof SourceKind];
 
-interface Named<T> {
+interface NamedSource<T> {
   readonly source: string;
   readonly value: T;
 }
 
-/** The source name of a text, read from the text itself. */
+/** Returns the source name of an INI text, "template/NAME" or "workspace/NAME". */
 export function sourceNameOf(
   file: string,
   text: string,
@@ -68,7 +68,7 @@
       );
 }
 
-/** Reads all sources; every fault of every source is reported. */
+/** Compiles all sources; fails with every fault of every source. */
 export function compileServices(
   sources: Sources,
 ): Result<Service[], ConfigurationFaults> {
@@ -91,7 +91,7 @@
   const services = workspaces.flatMap(workspace =>
     servicesOf(workspace, byName, faults),
   );
-  faults.push(...findSharedAddresses(services));
+  faults.push(...findAddressConflicts(services));
   return faults.length === 0
     ? ok(services)
     : err(ConfigurationFaults.create(faults));
@@ -102,7 +102,7 @@
   kind: SourceKind,
   schema: T,
   faults: Fault[],
-): Named<z.output<T>>[] {
+): NamedSource<z.output<T>>[] {
   return Object.entries(sources)
     .filter(([source]) => source.startsWith(`${kind}/`))
     .flatMap(([source, text]) =>
@@ -117,7 +117,7 @@
 }
 
 function servicesOf(
-  workspace: Named<Workspace>,
+  workspace: NamedSource<Workspace>,
   templates: ReadonlyMap<string, Template>,
   faults: Fault[],
 ): Service[] {
@@ -141,7 +141,7 @@
         section: `service.${name}`,
         key: 'servers',
         wrong: 'neither the service nor its template names a server',
-        right: 'write one line "servers[] = ip:port" a server',
+        right: 'write one line "servers[] = ip:port" per server',
       });
     }
     return [
@@ -171,8 +171,8 @@
   });
 }
 
-/** An address serves one service; a server serves one pool. */
-function findSharedAddresses(services: readonly Service[]): Fault[] {
+/** Finds addresses of more than one service and servers of more than one pool. */
+function findAddressConflicts(services: readonly Service[]): Fault[] {
   const uses = services.flatMap(service => {
     const user = `${service.workspace}/${service.name}`;
     const servers = service.servers.map(({id}) => id);
@@ -186,13 +186,14 @@
       })),
     ];
   });
-  const first = new Map<string, string>();
+  const firstUsers = new Map<string, string>();
   return uses.flatMap(({service, user, key, value}) => {
     const use = `${key} ${value}`;
-    const other = first.get(use);
-    first.set(use, other ?? user);
-    const fine = other === undefined || (key === 'servers' && other === user);
-    return fine
+    const other = firstUsers.get(use);
+    firstUsers.set(use, other ?? user);
+    const isAllowed =
+      other === undefined || (key === 'servers' && other === user);
+    return isAllowed
       ? []
       : [
           {
--- a/src/configuration/template.ts
+++ b/src/configuration/template.ts
@@ -1,18 +1,18 @@
-/** Templates: what all services of one kind have in common. */
+/** Schema of templates, which hold parameters shared by several services. */
 import {z} from 'zod';
 import {
   duration,
   flag,
   fraction,
   name,
-  serverLine,
+  backendServer,
   text,
   wholeNumber,
 } from './values.js';
 
-const HIGHEST_CONNECTIONS = 1_000_000;
-const HIGHEST_SLOTS = 10_000;
-const HIGHEST_QUEUE = 100_000;
+const MAX_CONNECTIONS = 1_000_000;
+const MAX_SLOTS = 10_000;
+const MAX_QUEUE_LENGTH = 100_000;
 
 /** The INI schema of a template; docs/SETTINGS.md explains each key. */
 export const templateSchema = z.strictObject({
@@ -25,13 +25,13 @@
   ),
   server: z
     .strictObject({
-      slots: wholeNumber(1, HIGHEST_SLOTS).prefault('1'),
-      connections: wholeNumber(1, HIGHEST_CONNECTIONS).prefault('2000'),
+      slots: wholeNumber(1, MAX_SLOTS).prefault('1'),
+      connections: wholeNumber(1, MAX_CONNECTIONS).prefault('2000'),
       'warm-up': duration().prefault('30s'),
-      // Shared by all workspaces that name no servers of their own.
+      // Used by services that list no servers.
       servers: z
-        .array(serverLine(), {
-          error: 'write one line "servers[] = ip:port" a server',
+        .array(backendServer(), {
+          error: 'write one line "servers[] = ip:port" per server',
         })
         .default([]),
     })
@@ -47,10 +47,10 @@
     .strictObject({
       repeatable: flag().default(false),
       deadline: duration().prefault('10s'),
-      queue: wholeNumber(0, HIGHEST_QUEUE).prefault('200'),
+      queue: wholeNumber(0, MAX_QUEUE_LENGTH).prefault('200'),
     })
     .prefault({}),
 });
 
-/** A template as read. */
+/** A parsed template. */
 export type Template = z.output<typeof templateSchema>;
--- a/src/configuration/values.ts
+++ b/src/configuration/values.ts
@@ -1,4 +1,4 @@
-/** Schemas of single values in INI files; all are written as text. */
+/** Schemas of single values in INI files. */
 import {z} from 'zod';
 import {parseSocketAddress} from '../routing/ipv4.js';
 import {parseDuration} from './duration.js';
@@ -8,23 +8,23 @@
 const SERVER_MESSAGE =
   'write "ip:port", or "ip:port weight=2" with a weight above 0 and up to 100';
 const SERVER_LINE = /^(?<id>\S+)(\s+weight=(?<weight>\d+(\.\d+)?))?$/;
-const HIGHEST_WEIGHT = 100;
+const MAX_WEIGHT = 100;
 
-/** A backend server as a workspace names it. */
+/** A backend server as listed in a template or workspace. */
 export interface ServerParameter {
   /** "ip:port". */
   readonly id: string;
   readonly weight: number;
 }
 
-/** "ip:port", or "ip:port weight=2". */
-export function serverLine(): z.ZodType<ServerParameter, string> {
+/** Accepts "ip:port" or "ip:port weight=2"; the default weight is 1. */
+export function backendServer(): z.ZodType<ServerParameter, string> {
   return z.string({error: SERVER_MESSAGE}).transform((line, context) => {
     const groups = SERVER_LINE.exec(line.trim())?.groups;
     const id = groups?.['id'] ?? '';
     const weight = Number(groups?.['weight'] ?? 1);
-    const fits = weight > 0 && weight <= HIGHEST_WEIGHT;
-    if (parseSocketAddress(id) === undefined || !fits) {
+    const isWeightValid = weight > 0 && weight <= MAX_WEIGHT;
+    if (parseSocketAddress(id) === undefined || !isWeightValid) {
       context.addIssue({code: 'custom', input: line, message: SERVER_MESSAGE});
       return z.NEVER;
     }
@@ -32,7 +32,7 @@
   });
 }
 
-/** "250ms", "10s", "5m" or "2h", read as milliseconds; greater than 0. */
+/** Accepts a duration above 0, such as "250ms" or "2h", as milliseconds. */
 export function duration(): z.ZodType<number, string> {
   return z
     .string({error: 'write a duration such as 250ms, 10s, 5m or 2h'})
@@ -50,7 +50,7 @@
     });
 }
 
-/** A whole number within bounds. */
+/** Accepts a whole number within bounds, both included. */
 export function wholeNumber(
   lowest: number,
   highest: number,
@@ -58,7 +58,7 @@
   return bounded(lowest, highest, true);
 }
 
-/** A number within bounds. */
+/** Accepts a number within bounds, both included. */
 export function fraction(
   lowest: number,
   highest: number,
@@ -75,8 +75,8 @@
   const message = `write ${kind} from ${lowest} to ${highest}`;
   return z.string({error: message}).transform((text, context) => {
     const value = text.trim() === '' ? NaN : Number(text);
-    const fits = value >= lowest && value <= highest;
-    if (!fits || (whole && !Number.isInteger(value))) {
+    const isInRange = value >= lowest && value <= highest;
+    if (!isInRange || (whole && !Number.isInteger(value))) {
       context.addIssue({code: 'custom', input: text, message});
       return z.NEVER;
     }
@@ -84,13 +84,13 @@
   });
 }
 
-/** A name: lower-case letters, digits and hyphens. */
+/** Accepts a name of lower-case letters, digits and hyphens. */
 export function name(): z.ZodType<string, string> {
-  const message = 'write lower-case letters, digits and hyphens, 63 at most';
+  const message = 'write up to 63 lower-case letters, digits and hyphens';
   return z.string({error: message}).regex(NAME, {error: message});
 }
 
-/** "a.b.c.d:port". */
+/** Accepts an IPv4 address and a port, "a.b.c.d:port". */
 export function socketAddress(): z.ZodType<string, string> {
   const message = 'write an IPv4 address and a port such as 10.20.0.1:443';
   return z
@@ -98,19 +98,19 @@
     .refine(text => parseSocketAddress(text) !== undefined, {error: message});
 }
 
-/** "true" or "false"; the INI library reads these two as booleans. */
+/** Accepts "true" or "false", which the INI library reads as booleans. */
 export function flag(): z.ZodType<boolean, boolean> {
   return z.boolean({error: 'write true or false'});
 }
 
-/** One of a few words. */
+/** Accepts one of a list of words. */
 export function oneOf<const T extends readonly [string, ...string[]]>(
   words: T,
 ): z.ZodType<T[number], string> {
   return z.enum(words, {error: `write one of ${words.join(', ')}`});
 }
 
-/** Any text that is not empty. */
+/** Accepts any text but an empty one; `what` completes the error message. */
 export function text(what: string): z.ZodType<string, string> {
   const message = `write ${what}`;
   return z.string({error: message}).min(1, {error: message});
--- a/src/configuration/watcher.ts
+++ b/src/configuration/watcher.ts
@@ -1,32 +1,36 @@
-/** The task that waits at the store for new revisions. */
+/**
+ * Watches the configuration document in the store for new revisions. Runs in
+ * each daemon, which watches only while it is selected to.
+ */
 import type {Clock} from '../ports/clock.js';
 import type {Store} from '../ports/store.js';
 import {DOCUMENT_KEY} from './document.js';
 
-/** One waiting call lasts this long at the most, in milliseconds. */
-const WATCH_MS = 30_000;
-/** Time between two looks at whether this daemon is to watch. */
-const IDLE_MS = 500;
-const FIRST_BACKOFF_MS = 200;
-const LONGEST_BACKOFF_MS = 5_000;
+const WATCH_TIMEOUT_MS = 30_000;
+/** Interval at which a daemon that is not selected checks again. */
+const IDLE_POLL_INTERVAL_MS = 500;
+const MIN_BACKOFF_MS = 200;
+const MAX_BACKOFF_MS = 5_000;
 
-/** What a watcher is made from. */
+/** Options of a watcher. */
 export interface WatcherOptions {
   readonly store: Store;
   readonly clock: Clock;
-  /** Whether this daemon is one of those that watch. */
+  /** Whether this daemon is one of those selected to watch. */
   isWatching(): boolean;
-  /** Called with each value read; an empty value is no configuration yet. */
+  /** Called with each document read; empty before the first edit. */
   onValue(value: Uint8Array): void;
+  /** Called with the cause when calls to the store start to fail. */
   onLost(cause: string): void;
+  /** Called when a call succeeds again. */
   onBack(): void;
 }
 
-/** Watches the configuration document while it is this daemon's turn. */
+/** Watches the configuration document while `isWatching` returns true. */
 export class Watcher {
   private stopped = false;
   private version = 0;
-  private failures = 0;
+  private consecutiveFailures = 0;
 
   private constructor(private readonly options: WatcherOptions) {}
 
@@ -35,7 +39,7 @@
     return new Watcher(options);
   }
 
-  /** Starts the task; the returned function stops it. */
+  /** Starts watching; returns a function that stops it. */
   start(): () => void {
     void this.run();
     return () => {
@@ -48,37 +52,39 @@
       if (this.options.isWatching()) {
         await this.watchOnce();
       } else {
-        await this.pause(IDLE_MS);
+        await this.pause(IDLE_POLL_INTERVAL_MS);
       }
     }
   }
 
   private async watchOnce(): Promise<void> {
     const {store, clock, onValue, onBack, onLost} = this.options;
-    const deadline = clock.now() + WATCH_MS;
+    const deadline = clock.now() + WATCH_TIMEOUT_MS;
     const result = await store.watch(DOCUMENT_KEY, this.version, deadline);
     if (this.stopped) {
       return;
     }
     if (result.isErr()) {
-      this.failures += 1;
-      if (this.failures === 1) {
+      this.consecutiveFailures += 1;
+      if (this.consecutiveFailures === 1) {
         onLost(result.error.message);
       }
       await this.pause(this.backoff());
       return;
     }
-    if (this.failures > 0) {
-      this.failures = 0;
+    if (this.consecutiveFailures > 0) {
+      this.consecutiveFailures = 0;
       onBack();
     }
     this.version = result.value.version;
     onValue(result.value.value);
   }
 
+  /** Returns the next delay in milliseconds; it doubles with each failure. */
   private backoff(): number {
-    const longest = FIRST_BACKOFF_MS * 2 ** Math.min(this.failures, 10);
-    return Math.min(LONGEST_BACKOFF_MS, longest);
+    const delayMs =
+      MIN_BACKOFF_MS * 2 ** Math.min(this.consecutiveFailures, 10);
+    return Math.min(MAX_BACKOFF_MS, delayMs);
   }
 
   private pause(milliseconds: number): Promise<void> {
