--- a/src/admission/dispatcher.ts
+++ b/src/admission/dispatcher.ts
@@ -37,7 +37,7 @@
   /**
    * Returns the latest time at which a server may start the request, in
    * monotonic milliseconds, or undefined when it may no longer be started.
-   * Called once per attempt, after a slot was acquired.
+   * Called each time a slot was acquired for the request, before it is sent.
    */
   startDeadline(): number | undefined;
 }
@@ -51,7 +51,7 @@
   readonly backends: BackendServers;
   /** Maximum number of queued requests per workspace. */
   readonly queueBound: number;
-  /** Retries and hedged attempts allowed per request, 0 to 1. */
+  /** Tokens that each request adds to the retry budget, 0 to 1. */
   readonly retryShare: number;
 }
 
--- a/src/admission/slot-estimates.ts
+++ b/src/admission/slot-estimates.ts
@@ -27,7 +27,7 @@
   backoffUntil: number;
   /** No slot is borrowed before this; monotonic milliseconds. */
   borrowBackoffUntil: number;
-  /** Refusals since the last request that the server did not refuse. */
+  /** Consecutive refusals, not counting calls that did not reach the server. */
   refusals: number;
 }
 
