--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -1,6 +1,7 @@
 /**
- * The daemon for a fabric with cookies: takes packets, places new flows, sends
- * all others where their cookies say, and shares a catalog with its peers.
+ * Load balancer daemon for a fabric with cookies. Assigns new flows to backend servers,
+ * forwards the packets of open flows to the server that their cookie names, and keeps
+ * the catalog of routes and servers in sync with its peers by gossip.
  */
 import {Catalog, type CatalogChange} from '../catalog/catalog.js';
 import {ReaderElection} from '../catalog/reader-election.js';
@@ -24,12 +25,16 @@
 import type {Random} from '../routing/random.js';
 import {ServerLoadTracker} from '../routing/server-load-tracker.js';
 import {FlowTerminator} from './flow-terminator.js';
-import {logChange, sinceStart, versionsOf} from './log-lines.js';
-import {PacketTask} from './packet-task.js';
-import {PlannedStop} from './planned-stop.js';
+import {
+  catalogVersionFields,
+  logCatalogChange,
+  processTimeFields,
+} from './log-fields.js';
+import {PacketHandler} from './packet-handler.js';
+import {GracefulShutdown} from './planned-stop.js';
 import type {EntrySettings} from './settings.js';
 
-/** What a daemon is made from. */
+/** Settings, ports and adapters of an `EntryDaemon`. */
 export interface EntryDaemonOptions {
   readonly settings: EntrySettings;
   readonly fabric: CookieFabric;
@@ -41,24 +46,24 @@
   readonly random: Random;
   readonly counters: Counters;
   readonly log: Log;
-  /** How new flows are placed; by the daemon's own work if undefined. */
+  /** Placement of new flows; undefined: by the load that this daemon observes itself. */
   readonly placement?: Placement;
 }
 
-/** One running daemon. */
+/** A daemon, from `run` until `stop`. */
 export class EntryDaemon {
   readonly catalog: Catalog;
   private readonly peers: PeerView;
-  private readonly work: ServerLoadTracker;
+  private readonly serverLoad: ServerLoadTracker;
   private readonly placement: Placement;
   private readonly router: CookieRouter;
-  private readonly spread: CatalogGossip;
-  private readonly turns: ReaderElection;
-  private readonly reach: ServerReachability;
+  private readonly gossip: CatalogGossip;
+  private readonly election: ReaderElection;
+  private readonly reachability: ServerReachability;
   private readonly reader: CatalogReader;
-  private readonly packets: PacketTask;
-  private readonly endings: FlowTerminator;
-  private readonly stops: Array<() => void> = [];
+  private readonly packetHandler: PacketHandler;
+  private readonly terminator: FlowTerminator;
+  private readonly stopCallbacks: Array<() => void> = [];
   private seeds: readonly number[];
   private isLeaving = false;
   private wasReady = false;
@@ -69,64 +74,64 @@
     this.seeds = seeds;
     this.catalog = Catalog.create({hasher, flowLifetimeMs});
     this.peers = PeerView.create({self: address, failureDomain, random});
-    this.work = ServerLoadTracker.create(hasher);
+    this.serverLoad = ServerLoadTracker.create(hasher);
     this.placement = options.placement ?? LocalLoadPlacement.create();
     this.router = this.createRouter();
-    this.packets = this.createPackets();
-    this.turns = this.createTurns();
-    this.reach = this.createReachability();
-    this.endings = this.createEndings();
-    this.spread = this.createSpread();
+    this.packetHandler = this.createPacketHandler();
+    this.election = this.createElection();
+    this.reachability = this.createReachability();
+    this.terminator = this.createTerminator();
+    this.gossip = this.createGossip();
     this.reader = this.createReader();
   }
 
-  /** Creates a daemon that does nothing until it is run. */
+  /** Creates a daemon; it is idle until `run` is called. */
   static create(options: EntryDaemonOptions): EntryDaemon {
     return new EntryDaemon(options);
   }
 
   /**
-   * Starts all tasks. Packets wait in the socket
-   * until the daemon knows routes and servers: it could do nothing with them.
+   * Starts all tasks. Packets stay in the socket's receive buffer until the catalog is
+   * complete, since none can be routed before.
    */
   async run(): Promise<void> {
     const {fabric, log, settings} = this.options;
-    this.catalog.onChange(change => this.noteChange(change));
-    this.whenComplete(() =>
-      fabric.onPacket(packet => this.packets.handle(packet)),
+    this.catalog.onChange(change => this.onCatalogChange(change));
+    this.onceComplete(() =>
+      fabric.onPacket(packet => this.packetHandler.handle(packet)),
     );
-    // The first copy is on its way while the daemon gets ready for its peers.
-    this.stops.push(this.reader.start());
-    this.stops.push(await this.spread.start());
+    // Requests the catalog first, so that the read overlaps with opening the channel.
+    this.stopCallbacks.push(this.reader.start());
+    this.stopCallbacks.push(await this.gossip.start());
     log.info('started', {
       address: formatIpv4(settings.address),
       failureDomain: settings.failureDomain,
       seeds: settings.seeds.length,
-      ...sinceStart(this.options.clock),
+      ...processTimeFields(this.options.clock),
     });
   }
 
-  /** Takes changed settings: the addresses of other daemons may change. */
+  /** Applies reloaded settings; only the seed addresses take effect. */
   reload(settings: EntrySettings): void {
     this.seeds = settings.seeds;
     this.options.log.warn('reloaded', {seeds: settings.seeds.length});
   }
 
-  /** Whether the fabric is to hand packets to this daemon. */
+  /** Whether the fabric may send packets to this daemon; logs each change. */
   isReady(): boolean {
     const ready = this.catalog.isComplete && !this.isLeaving;
     if (ready !== this.wasReady) {
       this.wasReady = ready;
       const {log, clock} = this.options;
       log.warn(ready ? 'ready' : 'not-ready', {
-        ...this.versions(),
-        ...sinceStart(clock),
+        ...this.versionFields(),
+        ...processTimeFields(clock),
       });
     }
     return ready;
   }
 
-  /** Brings the gauges up to date, before they are read. */
+  /** Refreshes the gauges; call it before the counters are read. */
   updateGauges(): void {
     const {counters} = this.options;
     counters.set(Metric.FLOWS_HELD, this.router.flows.size);
@@ -134,49 +139,52 @@
   }
 
   /**
-   * Whether the daemon is ready now or becomes so before `deadline` (monotonic
-   * milliseconds). The fabric asks only twice a second, so an answer that waits
-   * for the first read brings the daemon in earlier than a refusal does.
+   * Waits until the catalog is complete or `deadline` (monotonic milliseconds) passes,
+   * and returns whether the daemon is ready. Holding the fabric's check open avoids the
+   * wait of up to 500 ms for its next one.
    */
   async isReadyBy(deadline: number): Promise<boolean> {
     if (!this.catalog.isComplete && !this.isLeaving) {
       await new Promise<void>(resolve => {
         this.options.clock.callAt(deadline, resolve);
-        this.whenComplete(resolve);
+        this.onceComplete(resolve);
       });
     }
     return this.isReady();
   }
 
-  /** Ends once its failure domain can spare it and the fabric has left. */
+  /**
+   * Shuts down gracefully: waits until the failure domain has enough other daemons,
+   * reports not ready, and forwards until the fabric sends no more packets.
+   */
   async stop(): Promise<void> {
     const {clock, log, settings} = this.options;
-    const stop = PlannedStop.create({
+    const shutdown = GracefulShutdown.create({
       clock,
       peers: this.peers,
       failureDomain: settings.failureDomain,
       stopLimitMs: settings.stopLimitMs,
-      lastPacketAt: () => this.packets.lastPacketAt,
+      lastPacketAt: () => this.packetHandler.lastPacketAt,
     });
-    log.warn('stopping', this.versions());
-    await stop.awaitTurn();
+    log.warn('stopping', this.versionFields());
+    await shutdown.awaitPeerCapacity();
     this.isLeaving = true;
-    this.turns.noteLeaving(clock.now());
-    log.warn('leaving', this.versions());
-    this.spread.announce();
-    await stop.awaitQuiet();
-    this.reach.stop();
-    this.endings.stop();
-    this.stops.forEach(end => end());
+    this.election.noteLeaving(clock.now());
+    log.warn('leaving', this.versionFields());
+    this.gossip.announce();
+    await shutdown.awaitTrafficEnd();
+    this.reachability.stop();
+    this.terminator.stop();
+    this.stopCallbacks.forEach(callback => callback());
     this.options.fabric.close();
     log.warn('stopped', {
       flows: this.router.flows.size,
-      quietMs: Math.round(clock.now() - this.packets.lastPacketAt),
+      quietMs: Math.round(clock.now() - this.packetHandler.lastPacketAt),
     });
   }
 
-  /** Calls a task once routes and servers are known. */
-  private whenComplete(task: () => void): void {
+  /** Calls `task` once, as soon as the catalog is complete. */
+  private onceComplete(task: () => void): void {
     let isDone = false;
     const runOnce = () => {
       if (!isDone && this.catalog.isComplete) {
@@ -192,15 +200,15 @@
     const {clock, random, counters, settings} = this.options;
     return CookieRouter.create({
       catalog: this.catalog,
-      work: this.work,
+      work: this.serverLoad,
       placement: this.placement,
       clock,
       random,
       counters,
       inForceLimitMs: settings.inForceLimitMs,
-      onSilent: ({id}) => this.noteSilent(id),
-      onUnanswered: server => this.reach.suspect(server),
-      isUnreachable: id => this.reach.isUnreachable(id),
+      onSilent: ({id}) => this.onServerUnresponsive(id),
+      onUnanswered: server => this.reachability.investigate(server),
+      isUnreachable: id => this.reachability.isUnreachable(id),
       regionOf: domain => settings.regions.get(domain),
       coldLimits: settings.coldLimits,
       countDaemons: () => this.peers.countDaemons(clock.now()),
@@ -210,20 +218,20 @@
     });
   }
 
-  private createPackets(): PacketTask {
+  private createPacketHandler(): PacketHandler {
     const {fabric, counters, clock, log} = this.options;
-    return PacketTask.create({
+    return PacketHandler.create({
       fabric,
       counters,
       clock,
       log,
       router: this.router,
-      work: this.work,
-      versions: () => this.versions(),
+      serverLoad: this.serverLoad,
+      versionFields: () => this.versionFields(),
     });
   }
 
-  private createTurns(): ReaderElection {
+  private createElection(): ReaderElection {
     const {settings, hasher} = this.options;
     const {address, failureDomain, capacity, inForceLimitMs} = settings;
     return ReaderElection.create({
@@ -246,53 +254,54 @@
       log,
       serverById: id => this.catalog.serverById(id),
       isListed: id => this.catalog.isListed(id),
-      serverCount: service => this.catalog.countServers(service),
-      answeredAt: id => this.work.answeredAt(id),
-      ask: (daemons, server) => this.spread.ask(daemons, server),
-      vote: (daemon, server, result) =>
-        this.spread.vote(daemon, server, result),
-      announce: () => this.spread.announce(),
-      onUnreachable: server => void this.endings.noteUnreachable(server),
+      countServers: service => this.catalog.countServers(service),
+      lastAnsweredAt: id => this.serverLoad.answeredAt(id),
+      requestProbes: (daemons, server) => this.gossip.ask(daemons, server),
+      sendVote: (daemon, server, result) =>
+        this.gossip.vote(daemon, server, result),
+      announce: () => this.gossip.announce(),
+      onUnreachable: server => void this.terminator.onServerUnreachable(server),
     });
   }
 
-  private createEndings(): FlowTerminator {
+  private createTerminator(): FlowTerminator {
     const {settings} = this.options;
-    const {catalog, router, work, packets, reach} = this;
+    const {catalog, router, serverLoad, packetHandler, reachability} = this;
     return FlowTerminator.create({
       ...this.options,
-      isOn: settings.features.feedback,
+      isEnabled: settings.features.feedback,
       linkMbps: settings.linkMbps,
       catalog,
       router,
-      work,
-      packets,
-      reach,
+      serverLoad,
+      packetHandler,
+      reachability,
     });
   }
 
-  private createSpread(): CatalogGossip {
+  private createGossip(): CatalogGossip {
     const {channel, clock, log, random, settings} = this.options;
     return CatalogGossip.create({
       catalog: this.catalog,
       peers: this.peers,
-      election: this.turns,
-      reach: this.reach,
+      election: this.election,
+      reach: this.reachability,
       channel,
       clock,
       log,
       random,
       linkMbps: settings.linkMbps,
       seeds: () => this.seeds,
-      self: () => this.self(),
+      self: () => this.describeSelf(),
       selectLoadToGossip: isLarge =>
-        this.work.selectLoadToGossip(
+        this.serverLoad.selectLoadToGossip(
           clock.now(),
           isLarge || !this.placement.usesPeerLoad,
         ),
       snapshotExpectedUntil: () => this.reader.snapshotExpectedUntil,
       onElectionChange: () => this.reader.lookAgain(),
-      onWork: (sender, work) => this.work.receive(sender, work, clock.now()),
+      onWork: (sender, work) =>
+        this.serverLoad.receive(sender, work, clock.now()),
     });
   }
 
@@ -304,18 +313,18 @@
       clock,
       log,
       random,
-      election: this.turns,
+      election: this.election,
       isFirstStart: settings.isFirstStart,
       linkMbps: settings.linkMbps,
       inForceLimitMs: settings.inForceLimitMs,
       isAlone: () => this.peers.live(clock.now()).length === 0,
-      isPulling: () => this.spread.isPulling,
-      announce: () => this.spread.announce(),
+      isPulling: () => this.gossip.isPulling,
+      announce: () => this.gossip.announce(),
     });
   }
 
-  /** This daemon as its peers are to know it. */
-  private self(): PeerAge {
+  /** This daemon's record in heartbeats. */
+  private describeSelf(): PeerAge {
     const {address, failureDomain} = this.options.settings;
     return {
       address,
@@ -326,24 +335,24 @@
     };
   }
 
-  /** Peers are told at once: each opening that they send there is lost. */
-  private noteSilent(server: string): void {
+  /** Gossips at once, before peers open more flows at the server. */
+  private onServerUnresponsive(server: string): void {
     this.options.log.info('server-silent', {server});
-    this.spread.announce();
+    this.gossip.announce();
   }
 
-  /** Logs a change; the work of departed servers is forgotten. */
-  private noteChange(change: CatalogChange): void {
-    logChange(this.options.log, change, this.versions());
-    this.reach.noteListing(change);
-    this.endings.noteChange(change);
+  /** Logs a change, passes it on, and drops the load records of departed servers. */
+  private onCatalogChange(change: CatalogChange): void {
+    logCatalogChange(this.options.log, change, this.versionFields());
+    this.reachability.onListingChange(change);
+    this.terminator.onCatalogChange(change);
     if (change.departed.length > 0) {
-      this.work.retain(this.catalog.allServers().map(({id}) => id));
+      this.serverLoad.retain(this.catalog.allServers().map(({id}) => id));
     }
   }
 
-  /** Versions and ages of what decisions are made from. */
-  private versions(): LogFields {
-    return versionsOf(this.catalog, this.options.clock.now());
+  /** Log fields with the versions and ages of routes and servers. */
+  private versionFields(): LogFields {
+    return catalogVersionFields(this.catalog, this.options.clock.now());
   }
 }
--- a/src/entry/flow-terminator.ts
+++ b/src/entry/flow-terminator.ts
@@ -1,15 +1,10 @@
 /**
- * Ends flows early that can come to nothing, so that callers open others in time.
+ * Ends flows whose requests can no longer be answered, so that callers reconnect before
+ * their own timeouts. Used by the daemon while the health feature is on.
  *
- * The patterns answered: servers that start again under their id while callers wait at
- * their former life, which has acknowledged their requests, so that they send nothing; and
- * servers by the dozen that end while callers keep flows open there whose requests may
- * not be repeated, so that the next request on each is lost for good.
- *
- * Whether a flow is of a former life only its server knows. So it is sent the newest
- * packet of each flow once more: it resets what it does not hold itself. Flows of servers
- * that have ended, or that several daemons cannot reach, are reset here while no request
- * is under way on them.
+ * After a server restart, resends the newest packet of each of its flows: the server
+ * resets those that it does not know. Flows of servers that have ended or cannot be
+ * reached are reset here while they have no request in flight.
  */
 import type {Catalog, CatalogChange} from '../catalog/catalog.js';
 import type {CatalogServer} from '../catalog/records.js';
@@ -21,38 +16,38 @@
 import {RefusalReason, type CookieRouter} from '../routing/cookie-router.js';
 import type {SeenFlow} from '../routing/seen-flows.js';
 import type {ServerLoadTracker} from '../routing/server-load-tracker.js';
-import {flowOf} from './log-lines.js';
-import type {PacketTask} from './packet-task.js';
-import {RateLimitedQueue, type Sending} from './rate-limited-queue.js';
+import {flowFields} from './log-fields.js';
+import type {PacketHandler} from './packet-handler.js';
+import {RateLimitedQueue, type SendTask} from './rate-limited-queue.js';
 
 /**
- * Times after the news of a new life at which packets are sent there, in milliseconds:
- * one may be lost, the server may not listen yet, or it may be behind a cut. Callers wait
- * for 2 s to 13 s.
+ * Delays from a detected restart to each resend, in milliseconds. A resend fails if the
+ * packet is lost, the server does not listen yet or the network is partitioned.
  */
-const TRIES_AFTER_MS: readonly number[] = [0, 1_000, 4_000, 9_000];
-/** Bytes of a reset, and of what stands before a packet, headers of datagrams included. */
+const RESEND_DELAYS_MS: readonly number[] = [0, 1_000, 4_000, 9_000];
+/** Bytes of a reset on the link, headers included. */
 const RESET_BYTES = 60;
-const HEADER_BYTES = 36;
+/** Bytes of headers in front of a forwarded packet. */
+const FORWARD_HEADER_BYTES = 36;
 
-/** What the endings are made from. */
+/** Dependencies of a `FlowTerminator`. */
 export interface FlowTerminatorOptions {
-  /** Whether flows are ended early; else nothing is kept or sent. */
-  readonly isOn: boolean;
+  /** Whether flows are ended early; if false, no packets are retained or sent. */
+  readonly isEnabled: boolean;
   readonly catalog: Catalog;
   readonly router: CookieRouter;
-  readonly work: ServerLoadTracker;
-  readonly packets: PacketTask;
-  readonly reach: ServerReachability;
+  readonly serverLoad: ServerLoadTracker;
+  readonly packetHandler: PacketHandler;
+  readonly reachability: ServerReachability;
   readonly fabric: CookieFabric;
   readonly clock: Clock;
   readonly log: Log;
   readonly counters: Counters;
-  /** What the link carries, in megabits a second. */
+  /** Bandwidth of the instance's link, in megabits per second. */
   readonly linkMbps: number;
 }
 
-/** The flows that one daemon ends early. */
+/** Ends flows of restarted, ended and unreachable servers. */
 export class FlowTerminator {
   private readonly queue: RateLimitedQueue;
 
@@ -60,115 +55,126 @@
     this.queue = RateLimitedQueue.create(options.clock, options.linkMbps);
   }
 
-  /** Creates endings that have nothing to end. */
+  /** Creates a terminator with an empty send queue. */
   static create(options: FlowTerminatorOptions): FlowTerminator {
     return new FlowTerminator(options);
   }
 
-  /** Sends nothing more. */
+  /** Discards all queued packets. */
   stop(): void {
     this.queue.stop();
   }
 
-  /** Takes a change of the catalog. */
-  noteChange({restarted, ended}: CatalogChange): void {
-    restarted.forEach(server => this.noteRestarted(server));
-    ended.forEach(server => this.noteEnded(server));
+  /** Handles servers that restarted or ended. */
+  onCatalogChange({restarted, ended}: CatalogChange): void {
+    restarted.forEach(server => this.onServerRestarted(server));
+    ended.forEach(server => this.onServerEnded(server));
   }
 
   /**
-   * Callers that wait for a server that several daemons cannot reach come again elsewhere
-   * if their requests may be repeated; idle flows there end once this daemon has tried it
-   * as well.
+   * Handles a server that several daemons cannot reach. Resets waiting flows whose
+   * requests may be repeated, and idle flows once this daemon's own probe has failed too.
    */
-  async noteUnreachable(server: CatalogServer): Promise<void> {
-    this.options.packets.resetWaiting(server);
-    const hasIdle = this.idleAt(server).length > 0;
-    if (hasIdle && (await this.options.reach.isLost(server))) {
-      this.resetIdle(server);
+  async onServerUnreachable(server: CatalogServer): Promise<void> {
+    this.options.packetHandler.resetWaitingCallers(server);
+    const hasIdle = this.listIdleFlows(server).length > 0;
+    if (
+      hasIdle &&
+      (await this.options.reachability.verifyUnreachable(server))
+    ) {
+      this.resetIdleFlows(server);
     }
   }
 
-  /** What was under way at a server's former life is void, and its flows end there. */
-  private noteRestarted(server: CatalogServer): void {
-    const {router, work, clock, log} = this.options;
+  /** Drops the load counted for the former incarnation, and schedules the resends. */
+  private onServerRestarted(server: CatalogServer): void {
+    const {router, serverLoad, clock, log} = this.options;
     const flows = router.flows
       .renew(server)
       .filter(({isOpen, kept}) => isOpen && kept !== undefined);
-    work.forget(server.id);
+    serverLoad.forget(server.id);
     const {id, service} = server;
     log.info('server-restarted', {server: id, service, flows: flows.length});
     const now = clock.now();
     if (flows.length > 0) {
-      TRIES_AFTER_MS.forEach(after =>
-        clock.callAt(now + after, () => this.sendAgain(flows, server, now)),
+      RESEND_DELAYS_MS.forEach(delayMs =>
+        clock.callAt(now + delayMs, () =>
+          this.resendPackets(flows, server, now),
+        ),
       );
     }
   }
 
-  /** A server has ended for certain: whoever waits for it waits in vain. */
-  private noteEnded(server: CatalogServer): void {
-    const {isOn, packets, router} = this.options;
-    if (isOn && router.isCurrent()) {
-      packets.resetWaiting(server, RefusalReason.SERVER_GONE);
-      this.resetIdle(server);
+  private onServerEnded(server: CatalogServer): void {
+    const {isEnabled, packetHandler, router} = this.options;
+    if (isEnabled && router.isCurrent()) {
+      packetHandler.resetWaitingCallers(server, RefusalReason.SERVER_GONE);
+      this.resetIdleFlows(server);
     }
   }
 
-  private resetIdle(server: CatalogServer): void {
-    const idle = this.idleAt(server);
-    this.queue.add(idle.map(flow => this.resetOf(flow, server)));
+  private resetIdleFlows(server: CatalogServer): void {
+    const idle = this.listIdleFlows(server);
+    this.queue.add(idle.map(flow => this.createResetTask(flow, server)));
   }
 
-  private idleAt({id}: CatalogServer): SeenFlow[] {
-    const {isOn, router} = this.options;
-    return isOn ? router.flows.idleAt(id) : [];
+  private listIdleFlows({id}: CatalogServer): SeenFlow[] {
+    const {isEnabled, router} = this.options;
+    return isEnabled ? router.flows.idleAt(id) : [];
   }
 
-  /** Sends packets of flows to the life of a server that began before `since`. */
-  private sendAgain(
+  /** Queues the resends, unless the server restarted again or cannot be reached. */
+  private resendPackets(
     flows: readonly SeenFlow[],
     server: CatalogServer,
-    since: number,
+    restartedAt: number,
   ): void {
     const {catalog} = this.options;
     const {id, startTime} = server;
-    const isThisLife = catalog.serverById(id)?.startTime === startTime;
-    if (isThisLife && !this.options.reach.isUnreachable(id)) {
-      this.queue.add(flows.map(flow => this.repeatOf(flow, server, since)));
+    const isSameIncarnation = catalog.serverById(id)?.startTime === startTime;
+    if (isSameIncarnation && !this.options.reachability.isUnreachable(id)) {
+      this.queue.add(
+        flows.map(flow => this.createResendTask(flow, server, restartedAt)),
+      );
     }
   }
 
-  /** A flow that was heard of since needs no repeat: its own packets tell the server. */
-  private repeatOf(
+  /**
+   * The task skips flows with a packet since `restartedAt`: that packet already had the
+   * server answer or reset the flow.
+   */
+  private createResendTask(
     flow: SeenFlow,
     server: CatalogServer,
-    since: number,
-  ): Sending {
+    restartedAt: number,
+  ): SendTask {
     const {fabric, counters} = this.options;
     return () => {
       const {kept, hasEnded, seenAt} = flow;
-      if (kept === undefined || hasEnded || seenAt > since) {
+      if (kept === undefined || hasEnded || seenAt > restartedAt) {
         return 0;
       }
       fabric.forward(kept, server, kept.cookie);
       counters.add(Metric.PACKETS_REPEATED);
-      return kept.bytes.length + HEADER_BYTES;
+      return kept.bytes.length + FORWARD_HEADER_BYTES;
     };
   }
 
-  /** Looked at again when its turn comes: the server may be back, the flow in use. */
-  private resetOf(flow: SeenFlow, server: CatalogServer): Sending {
+  /**
+   * The task checks again when it runs: the server may have become reachable, or the flow
+   * busy, since it was queued.
+   */
+  private createResetTask(flow: SeenFlow, server: CatalogServer): SendTask {
     const {fabric, log, counters, router} = this.options;
     return () => {
-      const reason = this.reasonToReset(server);
+      const reason = this.findResetReason(server);
       if (reason === undefined || !router.flows.endIdle(flow)) {
         return 0;
       }
       fabric.reset(flow.caller);
       counters.add(Metric.FLOWS_ENDED);
       log.info('flow-reset', {
-        ...flowOf(flow.caller),
+        ...flowFields(flow.caller),
         server: server.id,
         reason,
       });
@@ -176,13 +182,13 @@
     };
   }
 
-  /** Why flows of a server may be reset now; undefined: they may not. */
-  private reasonToReset(server: CatalogServer): RefusalReason | undefined {
+  /** Returns why flows of a server may be reset now; undefined if they may not. */
+  private findResetReason(server: CatalogServer): RefusalReason | undefined {
     const {catalog, router} = this.options;
     if (catalog.hasEnded(server) && router.isCurrent()) {
       return RefusalReason.SERVER_GONE;
     }
-    return this.options.reach.isUnreachable(server.id)
+    return this.options.reachability.isUnreachable(server.id)
       ? RefusalReason.SERVER_UNREACHABLE
       : undefined;
   }
--- a/src/entry/log-lines.ts
+++ b/src/entry/log-fields.ts
@@ -1,14 +1,17 @@
-/** Fields and lines that several tasks of a daemon log alike. */
+/** Log fields and lines shared by the modules of the daemon. */
 import type {Catalog, CatalogChange} from '../catalog/catalog.js';
 import type {Clock} from '../ports/clock.js';
 import type {CallerPosition} from '../ports/cookie-fabric.js';
 import type {Log, LogFields} from '../ports/log.js';
 import {formatIpv4} from '../routing/ipv4.js';
 
-const MICROSECONDS_A_MILLISECOND = 1_000;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
 
-/** Versions and ages of what decisions are made from; `now` is monotonic milliseconds. */
-export function versionsOf(catalog: Catalog, now: number): LogFields {
+/**
+ * Versions of the routes and servers, and milliseconds since each was confirmed; `now`
+ * is monotonic milliseconds.
+ */
+export function catalogVersionFields(catalog: Catalog, now: number): LogFields {
   const {stamp} = catalog;
   return {
     routeVersion: stamp.routeVersion,
@@ -18,24 +21,24 @@
   };
 }
 
-/** The flow of a packet, as it is logged. */
-export function flowOf(packet: CallerPosition): LogFields {
+/** Source and destination of a packet as "ip:port". */
+export function flowFields(packet: CallerPosition): LogFields {
   const source = `${formatIpv4(packet.sourceAddress)}:${packet.sourcePort}`;
   const destination = `${formatIpv4(packet.destinationAddress)}:${packet.destinationPort}`;
   return {source, destination};
 }
 
-/** Processor time and time since the process started; both in milliseconds. */
-export function sinceStart(clock: Clock): LogFields {
+/** Processor time and uptime of this process in milliseconds. */
+export function processTimeFields(clock: Clock): LogFields {
   const {user, system} = process.cpuUsage();
   return {
-    processorMs: Math.round((user + system) / MICROSECONDS_A_MILLISECOND),
+    processorMs: Math.round((user + system) / MICROSECONDS_PER_MILLISECOND),
     sinceStartMs: Math.round(clock.now()),
   };
 }
 
-/** One line for each part of a change of the catalog, with the versions it led to. */
-export function logChange(
+/** Logs one line per changed item of the catalog; `versions` are those after it. */
+export function logCatalogChange(
   log: Log,
   change: CatalogChange,
   versions: LogFields,
@@ -44,7 +47,7 @@
     log.warn('routes-taken', versions);
   }
   if (change.isFirstListing) {
-    // One line in place of one a server: all daemons may start at once.
+    // A single line limits the log volume when all daemons start at once.
     log.info('servers-taken', {servers: change.changed.length, ...versions});
   } else {
     change.changed.forEach(({id, service, state}) =>
@@ -55,7 +58,7 @@
     log.info('server-entry-unreadable', {
       server: id,
       revision,
-      cause: cause === '' ? 'a peer says so' : cause,
+      cause: cause === '' ? 'reported by a peer' : cause,
     }),
   );
   change.departed.forEach(({id, service}) =>
--- a/src/entry/packet-task.ts
+++ b/src/entry/packet-handler.ts
@@ -1,4 +1,4 @@
-/** The task that takes packets from the fabric: forwards or refuses each, and says so. */
+/** Forwards or refuses each packet from the fabric; logs and counts the outcome. */
 import type {CatalogServer} from '../catalog/records.js';
 import type {Clock} from '../ports/clock.js';
 import type {CookieFabric, CookiePacket} from '../ports/cookie-fabric.js';
@@ -11,36 +11,36 @@
   type CookieRouter,
 } from '../routing/cookie-router.js';
 import type {ServerLoadTracker} from '../routing/server-load-tracker.js';
-import {flowOf, sinceStart} from './log-lines.js';
+import {flowFields, processTimeFields} from './log-fields.js';
 
-/** What the task is made from. */
-export interface PacketTaskOptions {
+/** Dependencies of a `PacketHandler`. */
+export interface PacketHandlerOptions {
   readonly fabric: CookieFabric;
   readonly counters: Counters;
   readonly clock: Clock;
   readonly log: Log;
   readonly router: CookieRouter;
-  readonly work: ServerLoadTracker;
-  /** Versions and ages of what decisions are made from. */
-  versions(): LogFields;
+  readonly serverLoad: ServerLoadTracker;
+  /** Log fields with the versions and ages of routes and servers. */
+  versionFields(): LogFields;
 }
 
-/** Handles the packets of one daemon. */
-export class PacketTask {
-  /** Monotonic milliseconds at which the fabric last handed a packet over. */
+/** Handles the packets that the fabric sends to one daemon. */
+export class PacketHandler {
+  /** Monotonic milliseconds of the last packet; -Infinity before the first. */
   lastPacketAt = -Infinity;
   private hasForwarded = false;
 
-  private constructor(private readonly options: PacketTaskOptions) {}
+  private constructor(private readonly options: PacketHandlerOptions) {}
 
-  /** Creates a task that waits for its first packet. */
-  static create(options: PacketTaskOptions): PacketTask {
-    return new PacketTask(options);
+  /** Creates a handler that has seen no packet. */
+  static create(options: PacketHandlerOptions): PacketHandler {
+    return new PacketHandler(options);
   }
 
-  /** Forwards or refuses a packet; only openings and refusals are logged. */
+  /** Forwards or refuses a packet; logs flow openings and refusals only. */
   handle(packet: CookiePacket): void {
-    const {fabric, counters, clock, log, router, work} = this.options;
+    const {fabric, counters, clock, log, router, serverLoad} = this.options;
     this.lastPacketAt = clock.now();
     const decision = router.decide(packet);
     if (decision.verdict !== CookieVerdict.FORWARD) {
@@ -50,14 +50,14 @@
     const {server, cookie} = decision;
     counters.add(Metric.PACKETS_FORWARDED);
     fabric.forward(packet, server, cookie);
-    this.noteFirst();
+    this.logFirstPacket();
     if (packet.opens) {
       log.info('flow-placed', {
-        ...flowOf(packet),
+        ...flowFields(packet),
         server: server.id,
         copy: packet.openCopy,
-        unfinished: work.countLocalInFlight(server.id),
-        ...this.options.versions(),
+        unfinished: serverLoad.countLocalInFlight(server.id),
+        ...this.options.versionFields(),
       });
     }
   }
@@ -73,25 +73,28 @@
       fabric.reset(packet);
     }
     log.info('packet-refused', {
-      ...flowOf(packet),
+      ...flowFields(packet),
       reason: refusal.reason,
       outcome: refusal.verdict,
       cookie: packet.cookie,
-      ...this.options.versions(),
+      ...this.options.versionFields(),
     });
   }
 
-  /** Logs how long the daemon took from its start to its first packet. */
-  private noteFirst(): void {
+  /** Logs the time from process start to the first forwarded packet. */
+  private logFirstPacket(): void {
     if (!this.hasForwarded) {
       this.hasForwarded = true;
       const {log, clock} = this.options;
-      log.info('first-packet', sinceStart(clock));
+      log.info('first-packet', processTimeFields(clock));
     }
   }
 
-  /** Callers that wait for a server that is lost come again elsewhere. */
-  resetWaiting(
+  /**
+   * Resets the flows of callers that wait for a server which has ended or cannot be
+   * reached, if the route allows repeating requests, so that they reconnect elsewhere.
+   */
+  resetWaitingCallers(
     server: CatalogServer,
     reason: RefusalReason = RefusalReason.SERVER_UNREACHABLE,
   ): void {
@@ -100,7 +103,7 @@
       fabric.reset(caller);
       counters.add(Metric.PACKETS_UNROUTABLE);
       log.info('flow-reset', {
-        ...flowOf(caller),
+        ...flowFields(caller),
         server: server.id,
         reason,
       });
--- a/src/entry/planned-stop.spec.ts
+++ b/src/entry/planned-stop.spec.ts
@@ -3,7 +3,7 @@
 import {FakeClock} from '../../standins/fake-clock.js';
 import {PeerView} from '../membership/peer-view.js';
 import {Random} from '../routing/random.js';
-import {PlannedStop} from './planned-stop.js';
+import {GracefulShutdown} from './planned-stop.js';
 
 const SELF = 1;
 const STOP_LIMIT_MS = 6_000;
@@ -17,7 +17,7 @@
     random: Random.create(1),
   });
   const seen = {lastPacketAt: clock.now()};
-  const stop = PlannedStop.create({
+  const stop = GracefulShutdown.create({
     clock,
     peers,
     failureDomain: 'a',
@@ -48,7 +48,7 @@
 test('a daemon that has refused readiness forwards until no packet has come for a while', async () => {
   const {clock, stop, seen} = createStop();
   const start = clock.now();
-  const end = watchEnd(clock, stop.awaitQuiet());
+  const end = watchEnd(clock, stop.awaitTrafficEnd());
   // The fabric hands packets over until it has asked twice in vain.
   for (let round = 0; round < 15; round += 1) {
     await clock.advance(100);
@@ -63,7 +63,7 @@
 test('packets that never end do not keep a daemon beyond its limit', async () => {
   const {clock, stop, seen} = createStop();
   const start = clock.now();
-  const end = watchEnd(clock, stop.awaitQuiet());
+  const end = watchEnd(clock, stop.awaitTrafficEnd());
   while (clock.now() < start + STOP_LIMIT_MS) {
     await clock.advance(100);
     seen.lastPacketAt = clock.now();
@@ -76,7 +76,7 @@
   const start = clock.now();
   tell(2, true);
   tell(3, true);
-  const end = watchEnd(clock, stop.awaitTurn());
+  const end = watchEnd(clock, stop.awaitPeerCapacity());
   await clock.advance(1_000);
   assert.equal(end.at, Infinity, 'nobody else is ready');
   tell(2, false);
--- a/src/entry/planned-stop.ts
+++ b/src/entry/planned-stop.ts
@@ -1,94 +1,89 @@
 /**
- * A planned stop: waits until the failure domain can spare this daemon, tells
- * the fabric, and forwards until the fabric has left.
+ * Timing of a graceful shutdown: waits until enough other daemons of the failure domain
+ * are ready, and then until the fabric sends no more packets.
  *
- * A fabric that finds fewer than half of a domain's daemons ready uses all of
- * them, those that have ended included. So of daemons that are stopped in close
- * succession each waits for the one before it to be back.
+ * A fabric that finds fewer than half of a domain's daemons ready sends packets to all of
+ * them, ended ones included. Daemons that are stopped in close succession therefore wait
+ * for those stopped before to come back.
  */
 import type {PeerView} from '../membership/peer-view.js';
 import type {Clock} from '../ports/clock.js';
 
-/** Time between two looks, in milliseconds. */
-const LOOK_MS = 100;
+/** Interval between two checks of a condition. */
+const POLL_INTERVAL_MS = 100;
 /**
- * Shortest time between the refusal and the end, in milliseconds: the fabric
- * asks twice a second and leaves after two refusals.
+ * Minimum time of forwarding after the daemon reports not ready: the fabric checks every
+ * 500 ms and stops sending after two failed checks.
  */
-const SHORTEST_FORWARDING_MS = 1_100;
-/** Time without a packet after which the fabric has left, in milliseconds. */
-const QUIET_MS = 300;
-/** Time kept back for the end itself on a slow instance, in milliseconds. */
-const RESERVE_MS = 800;
-/** Time kept back for forwarding after the wait for others, in milliseconds. */
-const FORWARDING_RESERVE_MS = 1_800;
-/** What a stop is made from. */
-export interface PlannedStopOptions {
+const MIN_DRAIN_MS = 1_100;
+/** Time without a packet after which the fabric has stopped sending. */
+const TRAFFIC_END_MS = 300;
+/** Time reserved for the exit of the process on a slow instance. */
+const EXIT_RESERVE_MS = 800;
+/** Time reserved for forwarding after the wait for other daemons. */
+const DRAIN_RESERVE_MS = 1_800;
+
+/** Dependencies and limits of a `GracefulShutdown`. */
+export interface GracefulShutdownOptions {
   readonly clock: Clock;
   readonly peers: PeerView;
   readonly failureDomain: string;
-  /** Longest time that the stop may take, in milliseconds. */
+  /** Time limit of the whole shutdown, in milliseconds. */
   readonly stopLimitMs: number;
-  /** When the fabric last handed a packet over, in monotonic milliseconds. */
+  /** Monotonic milliseconds of the last packet from the fabric. */
   lastPacketAt(): number;
 }
 
-/** The stop of one daemon. */
-export class PlannedStop {
-  private readonly endBy: number;
+/** The waits of one daemon's shutdown; both end early when time runs out. */
+export class GracefulShutdown {
+  private readonly deadline: number;
 
-  private constructor(private readonly options: PlannedStopOptions) {
+  private constructor(private readonly options: GracefulShutdownOptions) {
     const {clock, stopLimitMs} = options;
-    this.endBy = clock.now() + stopLimitMs - RESERVE_MS;
+    this.deadline = clock.now() + stopLimitMs - EXIT_RESERVE_MS;
   }
 
-  /** Creates a stop whose limit counts from now. */
-  static create(options: PlannedStopOptions): PlannedStop {
-    return new PlannedStop(options);
+  /** Creates a shutdown whose time limit starts now. */
+  static create(options: GracefulShutdownOptions): GracefulShutdown {
+    return new GracefulShutdown(options);
   }
 
-  /** Waits until at least half of the domain is ready without this daemon. */
-  async awaitTurn(): Promise<void> {
-    const latest = this.endBy - FORWARDING_RESERVE_MS;
-    await this.lookUntil(() => this.canBeSpared(), latest);
+  /** Waits until more of the domain's other daemons are ready than not. */
+  async awaitPeerCapacity(): Promise<void> {
+    const latest = this.deadline - DRAIN_RESERVE_MS;
+    await this.pollUntil(() => this.canLeave(), latest);
   }
 
-  /** Waits until the fabric hands no more packets over. */
-  async awaitQuiet(): Promise<void> {
+  /** Waits until the fabric sends no more packets. */
+  async awaitTrafficEnd(): Promise<void> {
     const {clock} = this.options;
-    const earliest = clock.now() + SHORTEST_FORWARDING_MS;
-    const isQuiet = () =>
+    const earliest = clock.now() + MIN_DRAIN_MS;
+    const hasTrafficEnded = () =>
       clock.now() >= earliest &&
-      clock.now() - this.options.lastPacketAt() >= QUIET_MS;
-    await this.lookUntil(isQuiet, this.endBy);
+      clock.now() - this.options.lastPacketAt() >= TRAFFIC_END_MS;
+    await this.pollUntil(hasTrafficEnded, this.deadline);
   }
 
-  /**
-   * Counts those that are ready against those that are not, as far as the view
-   * reaches: a domain with more daemons than a view holds is spared with care.
-   */
-  private canBeSpared(): boolean {
+  /** Counts only the peers in this daemon's view, which is partial in a large domain. */
+  private canLeave(): boolean {
     const {peers, clock, failureDomain} = this.options;
     const now = clock.now();
     const ready = peers
       .live(now)
       .filter(peer => peer.failureDomain === failureDomain && !peer.leaving);
-    const out = new Set(
+    const notReady = new Set(
       [...peers.leaving(now), ...peers.missing(now)].map(
         ({address}) => address,
       ),
     );
-    return out.size === 0 || ready.length > out.size;
+    return notReady.size === 0 || ready.length > notReady.size;
   }
 
-  private async lookUntil(
-    isOver: () => boolean,
-    latest: number,
-  ): Promise<void> {
+  private async pollUntil(isMet: () => boolean, latest: number): Promise<void> {
     const {clock} = this.options;
-    while (!isOver() && clock.now() < latest) {
+    while (!isMet() && clock.now() < latest) {
       await new Promise<void>(resolve => {
-        clock.callAt(clock.now() + LOOK_MS, resolve);
+        clock.callAt(clock.now() + POLL_INTERVAL_MS, resolve);
       });
     }
   }
--- a/src/entry/rate-limited-queue.ts
+++ b/src/entry/rate-limited-queue.ts
@@ -1,28 +1,29 @@
 /**
- * Sends many packets one after the other: what a daemon sends of its own accord, to many
- * callers or to one server, must neither fill its link nor flood who receives it.
+ * Rate-limited queue for the packets that a daemon originates itself, so that a burst of
+ * them neither fills its link nor overloads the receivers. Used by the flow terminator.
  */
 import type {Clock, Timer} from '../ports/clock.js';
 
-/** Packets sent at once, and the shortest time to the next ones, in milliseconds. */
-const BATCH = 8;
-const GAP_MS = 10;
-/** Share of the link that may be taken. */
-const LINK_SHARE = 0.1;
-const BYTES_A_MEGABIT_MS = 125;
+/** Packets sent at once. */
+const BATCH_SIZE = 8;
+/** Minimum time from one batch to the next, in milliseconds. */
+const MIN_BATCH_INTERVAL_MS = 10;
+/** Maximum share of the link's bandwidth to use. */
+const MAX_LINK_SHARE = 0.1;
+const BYTES_PER_MS_PER_MBPS = 125;
 
-/** Sends a packet; returns its length in bytes, 0 if it has become pointless. */
-export type Sending = () => number;
+/** Sends a packet; returns the bytes sent, 0 if the packet is no longer needed. */
+export type SendTask = () => number;
 
-/** The packets that one daemon is to send of its own accord. */
+/** Runs send tasks in order, in batches. */
 export class RateLimitedQueue {
-  private waiting: Sending[] = [];
+  private pending: SendTask[] = [];
   private isStopped = false;
   private timer: Timer | undefined;
 
   private constructor(
     private readonly clock: Clock,
-    /** What the link carries, in megabits a second. */
+    /** Bandwidth of the instance's link, in megabits per second. */
     private readonly linkMbps: number,
   ) {}
 
@@ -31,15 +32,15 @@
     return new RateLimitedQueue(clock, linkMbps);
   }
 
-  /** Sends packets as soon as their turn comes. */
-  add(sendings: readonly Sending[]): void {
-    this.waiting.push(...sendings);
+  /** Appends tasks; the first batch runs at once if the queue was idle. */
+  add(tasks: readonly SendTask[]): void {
+    this.pending.push(...tasks);
     if (this.timer === undefined && !this.isStopped) {
       this.sendBatch();
     }
   }
 
-  /** Sends nothing more. */
+  /** Stops sending; pending tasks never run. */
   stop(): void {
     this.isStopped = true;
     this.timer?.cancel();
@@ -47,13 +48,14 @@
 
   private sendBatch(): void {
     this.timer = undefined;
-    const batch = this.waiting.splice(0, BATCH);
+    const batch = this.pending.splice(0, BATCH_SIZE);
     if (batch.length === 0) {
       return;
     }
     const bytes = batch.reduce((sum, send) => sum + send(), 0);
-    const onLinkMs = bytes / (this.linkMbps * BYTES_A_MEGABIT_MS * LINK_SHARE);
-    const next = this.clock.now() + Math.max(GAP_MS, onLinkMs);
+    const transmitMs =
+      bytes / (this.linkMbps * BYTES_PER_MS_PER_MBPS * MAX_LINK_SHARE);
+    const next = this.clock.now() + Math.max(MIN_BATCH_INTERVAL_MS, transmitMs);
     this.timer = this.clock.callAt(next, () => this.sendBatch());
   }
 }
--- a/src/entry/settings.ts
+++ b/src/entry/settings.ts
@@ -1,53 +1,53 @@
 /** Settings of a daemon that serves a fabric with cookies. */
 import type {ColdLimits} from '../routing/cold-openings.js';
 
-/** What a deployment asks for beyond forwarding; all are off unless it does. */
+/** Optional features; off by default. */
 export interface EntryFeatures {
   /**
-   * What servers say of their health may mislead: callers' packets decide beside it who
-   * gets new flows, and how many. Flows that can come to nothing are ended early.
+   * Infers the health of servers from callers' packets, since health reports may mislead,
+   * and weighs new flows by it. Flows that can't be answered are ended early.
    */
   readonly feedback: boolean;
-  /** Callers may compete for room: requests are paced by urgency while there is too little. */
+  /** Paces requests by urgency while capacity is short. */
   readonly pressure: boolean;
 }
 
-/** What one process is told at its start. */
+/** Settings of one daemon process. */
 export interface EntrySettings {
   readonly name: string;
   /** IPv4 address of the instance as an unsigned number. */
   readonly address: number;
   readonly failureDomain: string;
-  /** The region of each failure domain. */
+  /** Region by failure domain. */
   readonly regions: ReadonlyMap<string, string>;
-  /** "ip:port" at which the fabric hands packets over. */
+  /** "ip:port" on which to receive packets from the fabric. */
   readonly fabricListen: string;
-  /** The platform's word for how packets name their servers; its adapter knows it. */
+  /** How packets identify their servers; the platform's adapter interprets it. */
   readonly fabricForm: string;
-  /** "ip:port" of readiness checks and of counters. */
+  /** "ip:port" on which to serve readiness checks and counters. */
   readonly readinessListen: string;
-  /** Port of beats (UDP) and pulls (TCP), the same at all daemons. */
+  /** Port of heartbeats (UDP) and pulls (TCP); the same on all daemons. */
   readonly peerPort: number;
-  /** Whether the whole fleet starts for the first time. */
+  /** Whether this is the first start of the whole fleet. */
   readonly isFirstStart: boolean;
-  /** Addresses of daemons that may run, as IPv4 numbers. */
+  /** IPv4 addresses, as numbers, of daemons to contact first; some may not run. */
   readonly seeds: readonly number[];
   /** "ip:port" of the store. */
   readonly storeAddress: string;
   /** Processor share in thousandths of a core. */
   readonly capacity: number;
-  /** What the instance's link carries, in megabits a second. */
+  /** Bandwidth of the instance's link, in megabits per second. */
   readonly linkMbps: number;
-  /** Longest time that a planned stop may take, in milliseconds. */
+  /** Time limit of a graceful shutdown, in milliseconds. */
   readonly stopLimitMs: number;
-  /** Longest life of a flow, in milliseconds. */
+  /** Maximum flow lifetime in milliseconds. */
   readonly flowLifetimeMs: number;
   /**
-   * Time in which a version, and the evacuation of a failure domain, have to be in
-   * force everywhere, in milliseconds.
+   * Time limit for a new version of the routes, or the evacuation of a failure domain, to
+   * take effect on all daemons, in milliseconds.
    */
   readonly inForceLimitMs: number;
-  /** What cold servers take beyond the rate that their service states. */
+  /** Load that cold servers accept beyond the rate configured for their service. */
   readonly coldLimits: ColdLimits;
   readonly features: EntryFeatures;
 }
--- a/src/reachability/reach-inquiry.spec.ts
+++ b/src/reachability/reachability-poll.spec.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {ContactResult} from '../ports/server-contact.js';
-import {ReachInquiry} from './reach-inquiry.js';
+import {ReachabilityPoll} from './reachability-poll.js';
 
 const SELF = 1;
 const HELPERS = [2, 3];
@@ -14,12 +14,12 @@
   }),
 );
 
-test('a server is unreachable only if the asking daemon and a helper tried in vain, and nobody reached it', () => {
+test('a server is unreachable only if the polling daemon and a helper failed to reach it, and none succeeded', () => {
   fc.assert(
     fc.property(VOTES, votes => {
-      const inquiry = ReachInquiry.create(SELF, HELPERS);
-      votes.forEach(({daemon, result}) => inquiry.vote(daemon, result));
-      // The last vote of each daemon that was asked.
+      const poll = ReachabilityPoll.create(SELF, HELPERS);
+      votes.forEach(({daemon, result}) => poll.recordVote(daemon, result));
+      // The last vote of each daemon in the poll.
       const last = new Map(
         votes
           .filter(({daemon}) => [SELF, ...HELPERS].includes(daemon))
@@ -29,19 +29,19 @@
         last.has(SELF) &&
         last.size >= 2 &&
         [...last.values()].every(result => result === ContactResult.SILENT);
-      assert.equal(inquiry.isUnreachable, isUnreachable);
+      assert.equal(poll.isUnreachable, isUnreachable);
     }),
     {seed: 9},
   );
 });
 
-test('an inquiry is settled by the first daemon that reaches the server, or by all votes', async () => {
-  const reached = ReachInquiry.create(SELF, HELPERS);
-  reached.vote(3, ContactResult.REACHED);
+test('a poll settles when any daemon reaches the server, or when all have voted', async () => {
+  const reached = ReachabilityPoll.create(SELF, HELPERS);
+  reached.recordVote(3, ContactResult.REACHED);
   await reached.settled;
-  const silent = ReachInquiry.create(SELF, HELPERS);
+  const silent = ReachabilityPoll.create(SELF, HELPERS);
   [SELF, ...HELPERS].forEach(daemon =>
-    silent.vote(daemon, ContactResult.SILENT),
+    silent.recordVote(daemon, ContactResult.SILENT),
   );
   await silent.settled;
   assert.equal(silent.isUnreachable, true);
--- a/src/reachability/reach-inquiry.ts
+++ b/src/reachability/reachability-poll.ts
@@ -1,15 +1,14 @@
 /**
- * One question put to several daemons: whether a backend server's host answers. Who
- * asks tries too. The server counts as unreachable only if all that answered tried in
- * vain, at least one of them besides the daemon that asks.
+ * A poll of several daemons on whether they can reach a backend server's host. The server
+ * is unreachable if all votes say so, at least one of them from another daemon.
  */
 import {ContactResult} from '../ports/server-contact.js';
 
-/** Votes on one server. */
-export class ReachInquiry {
+/** The votes on one server. */
+export class ReachabilityPoll {
   private readonly votes = new Map<number, ContactResult>();
   private settle: () => void = () => undefined;
-  /** Resolves once nothing that may still come changes the outcome. */
+  /** Resolves when the server was reached by any daemon, or all have voted. */
   readonly settled: Promise<void>;
 
   private constructor(
@@ -21,13 +20,13 @@
     });
   }
 
-  /** Creates an inquiry of the daemon `self` that asks `helpers`, by address. */
-  static create(self: number, helpers: readonly number[]): ReachInquiry {
-    return new ReachInquiry(self, new Set(helpers));
+  /** Creates a poll by daemon `self` among `helpers`, all by address. */
+  static create(self: number, helpers: readonly number[]): ReachabilityPoll {
+    return new ReachabilityPoll(self, new Set(helpers));
   }
 
-  /** Takes the vote of a daemon; votes of daemons that were not asked do not count. */
-  vote(daemon: number, result: ContactResult): void {
+  /** Records a vote; those of daemons that aren't part of the poll are ignored. */
+  recordVote(daemon: number, result: ContactResult): void {
     if (daemon !== this.self && !this.helpers.has(daemon)) {
       return;
     }
@@ -37,12 +36,11 @@
     }
   }
 
-  /** Whether several daemons tried in vain and nobody reached the server. */
+  /** Whether this daemon and at least one helper failed, and none reached the server. */
   get isUnreachable(): boolean {
     return !this.wasReached && this.votes.has(this.self) && this.votes.size > 1;
   }
 
-  /** Votes so far. */
   get voteCount(): number {
     return this.votes.size;
   }
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -1,18 +1,8 @@
 /**
- * Finds out, together with peers, which backend servers have fallen silent for good.
- *
- * The pattern answered: servers that lose power by the dozen without a word. Their
- * callers send again and again on open flows until their own deadline, seconds later,
- * and no daemon alone can tell such a server from a lost packet. So the daemon that
- * sees the first packet sent again has daemons of other failure domains try to reach
- * the server's host, as it does itself; only if all of them fail, all within a third of
- * a second, the flows whose requests may be repeated are reset, and their callers come
- * again at once.
- *
- * A server that lives and is undisturbed is not found unreachable: its host answers a
- * connection within a round trip however busy the server is, and at least three
- * connections of two daemons have to be lost besides the packet. One that is cut off is
- * found unreachable as long as it is.
+ * Detects backend servers whose hosts fail without closing their connections. When a
+ * caller retransmits to a server, this daemon and peers in other failure domains probe
+ * its host; if every probe fails, the server counts as unreachable and the finding is
+ * gossiped. A single daemon can't tell a failed host from a lost packet or a partition.
  */
 import type {AffectedServers} from '../catalog/listing-change.js';
 import type {CatalogServer} from '../catalog/records.js';
@@ -21,33 +11,34 @@
 import type {Clock} from '../ports/clock.js';
 import type {Log} from '../ports/log.js';
 import {ContactResult, type ServerContact} from '../ports/server-contact.js';
-import {ReachInquiry} from './reach-inquiry.js';
-import {UnreachableServers, type ReachFinding} from './unreachable-servers.js';
+import {ReachabilityPoll} from './reachability-poll.js';
+import {
+  UnreachableServers,
+  type ReachabilityFinding,
+} from './unreachable-servers.js';
 
-/** Daemons that are asked to try besides the one that asks. */
-const HELPERS = 2;
-/**
- * Time in which a server has to answer, in milliseconds: a hundred usual round trips.
- * A caller sends again after 200 ms, so the end is found out some 0.6 s after it.
- */
-const CONTACT_MS = 300;
-/** Time in which helpers have to answer, in milliseconds: their attempt and the way. */
-const VOTES_MS = CONTACT_MS + 100;
-/** Time by which a timer may be late before an attempt proves nothing, in milliseconds. */
-const LATE_MS = 80;
-/** Time after an attempt in which a server is not tried again, in milliseconds. */
-const HOLD_MS = 1_000;
-/** Time after which a finding is confirmed, in milliseconds, while it is needed. */
-const CONFIRM_MS = 2_500;
-/** Time for which findings on a service stay in doubt, in milliseconds. */
-const DOUBT_MS = 3_500;
-/** Inquiries and attempts for others at once; each takes two connections. */
-const MAXIMUM_INQUIRIES = 16;
-const MAXIMUM_ATTEMPTS = 64;
-/** Servers on hold that are remembered. */
-const MAXIMUM_HOLDS = 1_024;
+/** Peers asked to probe a server besides this daemon. */
+const HELPER_COUNT = 2;
+/** Time limit of one probe, in milliseconds. */
+const PROBE_TIMEOUT_MS = 300;
+/** Time limit for the votes of helpers: their probe and the network round trip. */
+const VOTE_TIMEOUT_MS = PROBE_TIMEOUT_MS + 100;
+/** Delay of the probe's timer from which a failed probe counts as inconclusive. */
+const MAX_TIMER_DELAY_MS = 80;
+/** Time after a probe in which no poll on the same server starts. */
+const PROBE_COOLDOWN_MS = 1_000;
+/** Time between two probes of a server that is unreachable. */
+const RECONFIRM_INTERVAL_MS = 2_500;
+/** Time for which a service's findings are ignored after most of it was unreachable. */
+const IGNORE_FINDINGS_MS = 3_500;
+/** Limit of concurrent polls. */
+const MAX_POLLS = 16;
+/** Concurrent probes from which requests of peers are declined. */
+const MAX_PROBES = 64;
+/** Limit of cooldowns kept; the oldest is dropped first. */
+const MAX_COOLDOWNS = 1_024;
 
-/** What reachability is made from. */
+/** Dependencies and callbacks of `ServerReachability`. */
 export interface ServerReachabilityOptions {
   /** Address of this daemon. */
   readonly self: number;
@@ -57,194 +48,201 @@
   readonly peers: PeerView;
   readonly clock: Clock;
   readonly log: Log;
-  /** A server that is listed or that left not long ago, by id. */
+  /** Returns a listed or recently departed server; undefined if the id is unknown. */
   serverById(id: string): CatalogServer | undefined;
   /** Whether a server is listed. */
   isListed(id: string): boolean;
-  /** Servers of a service that are listed, or left not long ago. */
-  serverCount(service: string): number;
-  /** When a server last answered a caller through this daemon; monotonic milliseconds. */
-  answeredAt(id: string): number;
-  /** Asks daemons to try to reach a server. */
-  ask(daemons: readonly number[], server: string): void;
-  /** Tells the daemon that asked what came of it. */
-  vote(daemon: number, server: string, result: ContactResult): void;
-  /** Tells the peers at once what was found. */
+  /** Counts the listed and recently departed servers of a service. */
+  countServers(service: string): number;
+  /** Monotonic milliseconds at which a server last answered a caller here. */
+  lastAnsweredAt(id: string): number;
+  /** Asks peers, by address, to probe a server. */
+  requestProbes(daemons: readonly number[], server: string): void;
+  /** Sends a probe's result to the daemon that asked for it. */
+  sendVote(daemon: number, server: string, result: ContactResult): void;
+  /** Gossips the findings at once. */
   announce(): void;
-  /** Told of a server that cannot be reached from now on. */
+  /** Called when a server becomes unreachable. */
   onUnreachable(server: CatalogServer): void;
 }
 
-/** What one daemon finds out and knows. */
+/** Runs polls on suspected servers and holds the findings of the fleet. */
 export class ServerReachability {
-  private readonly known: UnreachableServers;
-  private readonly inquiries = new Map<string, ReachInquiry>();
-  /** Until when servers are not tried again; monotonic milliseconds. */
-  private readonly holds = new Map<string, number>();
-  /** Until when findings on a service count for nothing; monotonic milliseconds. */
-  private readonly doubts = new Map<string, number>();
-  private attempts = 0;
+  private readonly findings: UnreachableServers;
+  private readonly polls = new Map<string, ReachabilityPoll>();
+  /** When the cooldown of each server ends; monotonic milliseconds. */
+  private readonly cooldowns = new Map<string, number>();
+  /** By service, in monotonic milliseconds. */
+  private readonly findingsIgnoredUntil = new Map<string, number>();
+  private activeProbes = 0;
   private isStopped = false;
 
   private constructor(private readonly options: ServerReachabilityOptions) {
-    this.known = UnreachableServers.create(options.flowLifetimeMs);
+    this.findings = UnreachableServers.create(options.flowLifetimeMs);
   }
 
-  /** Creates the reachability of a daemon that suspects nobody. */
+  /** Creates it without findings. */
   static create(options: ServerReachabilityOptions): ServerReachability {
     return new ServerReachability(options);
   }
 
-  /** Takes up no further inquiries. */
+  /** Starts no more polls and publishes no more findings. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Looks into a server that left a packet without an answer. */
-  suspect(server: CatalogServer): void {
+  /** Starts a poll on a server that left a packet unanswered, within the limits. */
+  investigate(server: CatalogServer): void {
     const {id} = server;
     const now = this.options.clock.now();
-    const isHeld = (this.holds.get(id) ?? -Infinity) > now;
+    const isCoolingDown = (this.cooldowns.get(id) ?? -Infinity) > now;
     const isBusy =
-      this.isStopped ||
-      this.inquiries.has(id) ||
-      this.inquiries.size >= MAXIMUM_INQUIRIES;
-    if (!isHeld && !isBusy && !this.known.has(id, now)) {
-      void this.inquire(server);
+      this.isStopped || this.polls.has(id) || this.polls.size >= MAX_POLLS;
+    if (!isCoolingDown && !isBusy && !this.findings.isUnreachable(id, now)) {
+      void this.runPoll(server);
     }
   }
 
-  /** Whether a server cannot be reached, and that is not in doubt. */
+  /** Whether a server is unreachable and its service's findings aren't ignored. */
   isUnreachable(id: string): boolean {
     const now = this.options.clock.now();
     const service = this.options.serverById(id)?.service;
     return (
       service !== undefined &&
-      this.known.has(id, now) &&
-      !this.isInDoubt(service, now)
+      this.findings.isUnreachable(id, now) &&
+      !this.areFindingsIgnored(service, now)
     );
   }
 
-  /** Tries to reach a server for a peer. */
-  async onAsk(asker: number, id: string): Promise<void> {
+  /** Probes a server for a peer and sends it the result, within the limits. */
+  async onAsk(requester: number, id: string): Promise<void> {
     const server = this.options.serverById(id);
-    if (server === undefined || this.attempts >= MAXIMUM_ATTEMPTS) {
+    if (server === undefined || this.activeProbes >= MAX_PROBES) {
       return;
     }
-    this.hold(id);
-    const result = await this.attempt(server);
-    this.options.vote(asker, id, result);
+    this.startCooldown(id);
+    const result = await this.probe(server);
+    this.options.sendVote(requester, id, result);
   }
 
   /**
-   * Tries to reach a server that was found unreachable, before it is taken for lost here:
-   * those that found it so may be cut off themselves. Tells all if it was reached.
+   * Probes a server that peers found unreachable, since those peers may be partitioned
+   * themselves. Returns whether it is unreachable from here too; publishes a success.
    */
-  async isLost(server: CatalogServer): Promise<boolean> {
-    if (this.attempts >= MAXIMUM_ATTEMPTS) {
+  async verifyUnreachable(server: CatalogServer): Promise<boolean> {
+    if (this.activeProbes >= MAX_PROBES) {
       return false;
     }
-    const result = await this.attempt(server);
+    const result = await this.probe(server);
     if (result === ContactResult.SILENT) {
       return this.isUnreachable(server.id);
     }
     if (!this.isStopped) {
-      this.find(server, true);
+      this.publishFinding(server, true);
     }
     return false;
   }
 
-  /** Takes what a peer found that was asked. */
+  /** Records the vote of a peer in the open poll on a server, if there is one. */
   onVote(daemon: number, id: string, result: ContactResult): void {
-    this.inquiries.get(id)?.vote(daemon, result);
+    this.polls.get(id)?.recordVote(daemon, result);
   }
 
-  /** Takes what others found; true if it is news of the life that is known. */
-  hear(finding: ReachFinding): boolean {
+  /**
+   * Merges a finding; true if it is new and should be gossiped. Findings on another
+   * incarnation of the server than the one in the catalog are rejected.
+   */
+  hear(finding: ReachabilityFinding): boolean {
     const now = this.options.clock.now();
     const server = this.options.serverById(finding.server);
     if (server !== undefined && server.startTime !== finding.startTime) {
       return false;
     }
-    const wasKnown = this.known.has(finding.server, now);
-    const isNews = this.known.take(finding, now);
-    const isLost =
+    const wasKnown = this.findings.isUnreachable(finding.server, now);
+    const isNew = this.findings.merge(finding, now);
+    const isUnreachableNow =
       !wasKnown && server !== undefined && this.isUnreachable(server.id);
-    if (isNews && isLost) {
+    if (isNew && isUnreachableNow) {
       this.options.onUnreachable(server);
     }
-    return isNews;
+    return isNew;
   }
 
-  /** Findings to tell in a beat. */
-  selectFindingsToGossip(now: number): ReachFinding[] {
-    return this.known.selectFindingsToGossip(now);
+  /** Selects the findings for a heartbeat. */
+  selectFindingsToGossip(now: number): ReachabilityFinding[] {
+    return this.findings.selectFindingsToGossip(now);
   }
 
-  /** Takes changes of the list of servers. */
-  noteListing({changed, departed, restarted}: AffectedServers): void {
+  /** Applies changes of the server list. */
+  onListingChange({changed, departed, restarted}: AffectedServers): void {
     const now = this.options.clock.now();
-    changed.forEach(({id}) => this.known.noteListed(id));
-    restarted.forEach(({id}) => this.noteRestarted(id));
-    departed.forEach(({id}) => this.known.noteDeparted(id, now));
+    changed.forEach(({id}) => this.findings.onListed(id));
+    restarted.forEach(({id}) => this.onRestarted(id));
+    departed.forEach(({id}) => this.findings.onDeparted(id, now));
   }
 
-  /** What was found of a former life, or is being found, says nothing of the new one. */
-  private noteRestarted(id: string): void {
-    this.known.noteRestarted(id);
-    this.inquiries.delete(id);
-    this.holds.delete(id);
+  /** Drops the findings and the open poll on the former incarnation. */
+  private onRestarted(id: string): void {
+    this.findings.onRestarted(id);
+    this.polls.delete(id);
+    this.cooldowns.delete(id);
   }
 
-  /** Asks peers, tries as well, and tells everyone if nobody reached the server. */
-  private async inquire(server: CatalogServer): Promise<void> {
+  /** Has peers probe a server, probes it as well, and publishes if all probes failed. */
+  private async runPoll(server: CatalogServer): Promise<void> {
     const {clock, self, log} = this.options;
     const {id} = server;
     const startedAt = clock.now();
-    const helpers = this.helpersFor(server).map(({address}) => address);
+    const helpers = this.selectHelpers(server).map(({address}) => address);
     if (helpers.length === 0) {
       return;
     }
-    const inquiry = ReachInquiry.create(self, helpers);
-    this.inquiries.set(id, inquiry);
-    this.options.ask(helpers, id);
-    inquiry.vote(self, await this.attempt(server));
+    const poll = ReachabilityPoll.create(self, helpers);
+    this.polls.set(id, poll);
+    this.options.requestProbes(helpers, id);
+    poll.recordVote(self, await this.probe(server));
     await Promise.race([
-      inquiry.settled,
-      this.sleepUntil(startedAt + VOTES_MS),
+      poll.settled,
+      this.sleepUntil(startedAt + VOTE_TIMEOUT_MS),
     ]);
-    if (this.inquiries.get(id) !== inquiry) {
-      // The server has started again meanwhile.
+    if (this.polls.get(id) !== poll) {
+      // The server restarted in the meantime.
       return;
     }
-    this.inquiries.delete(id);
-    this.hold(id);
-    const {isUnreachable, voteCount} = inquiry;
+    this.polls.delete(id);
+    this.startCooldown(id);
+    const {isUnreachable, voteCount} = poll;
     log.info('server-tried', {server: id, isUnreachable, votes: voteCount});
     if (isUnreachable && !this.isStopped) {
-      this.find(server, false);
-      await this.confirmOn(server);
+      this.publishFinding(server, false);
+      await this.reconfirm(server);
     }
   }
 
-  /** Confirms a finding for as long as it is needed, or takes it back. */
-  private async confirmOn(server: CatalogServer): Promise<void> {
+  /**
+   * Probes an unreachable server periodically and publishes the result, until it is
+   * reached, leaves the list or the finding expires.
+   */
+  private async reconfirm(server: CatalogServer): Promise<void> {
     const {clock} = this.options;
-    await this.sleepUntil(clock.now() + CONFIRM_MS);
+    await this.sleepUntil(clock.now() + RECONFIRM_INTERVAL_MS);
     const isNeeded = !this.isStopped && this.options.isListed(server.id);
-    if (!isNeeded || !this.known.has(server.id, clock.now())) {
+    if (!isNeeded || !this.findings.isUnreachable(server.id, clock.now())) {
       return;
     }
-    const result = await this.attempt(server);
+    const result = await this.probe(server);
     const reached = result === ContactResult.REACHED;
-    this.find(server, reached);
+    this.publishFinding(server, reached);
     if (!reached) {
-      await this.confirmOn(server);
+      await this.reconfirm(server);
     }
   }
 
-  /** Takes and tells what was found of one life of a server, unless it has ended. */
-  private find({id, startTime}: CatalogServer, reached: boolean): void {
+  /** Logs, merges and gossips a finding, unless the server has restarted since. */
+  private publishFinding(
+    {id, startTime}: CatalogServer,
+    reached: boolean,
+  ): void {
     const {log, clock} = this.options;
     if (this.options.serverById(id)?.startTime !== startTime) {
       return;
@@ -256,39 +254,42 @@
     this.options.announce();
   }
 
-  /** Tries to reach a server; one that answers callers meanwhile was reached. */
-  private async attempt(server: CatalogServer): Promise<ContactResult> {
+  /** Probes a server; an answer to a caller in the meantime counts as success. */
+  private async probe(server: CatalogServer): Promise<ContactResult> {
     const {clock, contact} = this.options;
     const startedAt = clock.now();
-    const deadline = startedAt + CONTACT_MS;
-    this.attempts += 1;
+    const deadline = startedAt + PROBE_TIMEOUT_MS;
+    this.activeProbes += 1;
     const result = await contact.reach(server, deadline);
-    this.attempts -= 1;
-    const isLate = clock.now() > deadline + LATE_MS;
-    const answers = this.options.answeredAt(server.id) >= startedAt;
+    this.activeProbes -= 1;
+    const isLate = clock.now() > deadline + MAX_TIMER_DELAY_MS;
+    const answers = this.options.lastAnsweredAt(server.id) >= startedAt;
     return isLate || answers ? ContactResult.REACHED : result;
   }
 
   /**
-   * Whether more than half of a service seemed unreachable of late. It may be the
-   * network between daemons and servers then, and callers that wait are better off than
-   * those that come again in vain; after its return servers are reached one by one.
+   * Whether more than half of a service was unreachable within `IGNORE_FINDINGS_MS`. That
+   * points to the network between daemons and servers, where resets would only make
+   * callers reconnect in vain.
    */
-  private isInDoubt(service: string, now: number): boolean {
-    const unreachable = this.known
-      .all(now)
+  private areFindingsIgnored(service: string, now: number): boolean {
+    const unreachable = this.findings
+      .list(now)
       .filter(id => this.options.serverById(id)?.service === service);
-    if (unreachable.length * 2 > this.options.serverCount(service)) {
-      this.doubts.set(service, now + DOUBT_MS);
+    if (unreachable.length * 2 > this.options.countServers(service)) {
+      this.findingsIgnoredUntil.set(service, now + IGNORE_FINDINGS_MS);
     }
-    return (this.doubts.get(service) ?? -Infinity) > now;
+    return (this.findingsIgnoredUntil.get(service) ?? -Infinity) > now;
   }
 
-  /** Peers of other failure domains, one of the server's own domain among them. */
-  private helpersFor({failureDomain}: CatalogServer): PeerDaemon[] {
+  /**
+   * Selects random peers, the first from the server's failure domain if possible and the
+   * others from further domains; peers of this daemon's own domain come last.
+   */
+  private selectHelpers({failureDomain}: CatalogServer): PeerDaemon[] {
     const {peers, clock} = this.options;
     const live = peers.live(clock.now()).filter(({leaving}) => !leaving);
-    const shuffled = peers.sample(live, live.length);
+    const candidates = peers.sample(live, live.length);
     const own = this.options.failureDomain;
     const rankOf = (peer: PeerDaemon) =>
       peer.failureDomain === own
@@ -296,23 +297,23 @@
         : peer.failureDomain === failureDomain
           ? 0
           : 1;
-    const [first, ...rest] = shuffled.sort((a, b) => rankOf(a) - rankOf(b));
+    const [first, ...rest] = candidates.sort((a, b) => rankOf(a) - rankOf(b));
     if (first === undefined) {
       return [];
     }
     const elsewhere = rest.filter(
       peer => peer.failureDomain !== first.failureDomain,
     );
-    return [first, ...elsewhere, ...rest].slice(0, HELPERS);
+    return [first, ...elsewhere, ...rest].slice(0, HELPER_COUNT);
   }
 
-  private hold(id: string): void {
+  private startCooldown(id: string): void {
     const now = this.options.clock.now();
-    this.holds.delete(id);
-    this.holds.set(id, now + HOLD_MS);
-    if (this.holds.size > MAXIMUM_HOLDS) {
-      const [oldest] = this.holds.keys();
-      this.holds.delete(oldest);
+    this.cooldowns.delete(id);
+    this.cooldowns.set(id, now + PROBE_COOLDOWN_MS);
+    if (this.cooldowns.size > MAX_COOLDOWNS) {
+      const [oldest] = this.cooldowns.keys();
+      this.cooldowns.delete(oldest);
     }
   }
 
--- a/src/reachability/unreachable-servers.spec.ts
+++ b/src/reachability/unreachable-servers.spec.ts
@@ -8,47 +8,47 @@
   return {server, reached: false, at, startTime: 0};
 }
 
-test('a finding holds for 3.5 s, longer when it is confirmed, and is news once', () => {
+test('a finding expires after 3.5 s unless it is renewed, and is new only once', () => {
   const servers = UnreachableServers.create(FLOW_LIFETIME_MS);
-  assert.equal(servers.take(silentAt('s', 0), 10), true);
-  assert.equal(servers.take(silentAt('s', 8), 20), false);
-  assert.equal(servers.has('s', 3_500), true);
-  assert.equal(servers.has('s', 3_501), false);
-  assert.equal(servers.take(silentAt('s', 2_500), 2_510), true);
-  assert.equal(servers.has('s', 6_000), true);
-  assert.equal(servers.has('other', 0), false);
+  assert.equal(servers.merge(silentAt('s', 0), 10), true);
+  assert.equal(servers.merge(silentAt('s', 8), 20), false);
+  assert.equal(servers.isUnreachable('s', 3_500), true);
+  assert.equal(servers.isUnreachable('s', 3_501), false);
+  assert.equal(servers.merge(silentAt('s', 2_500), 2_510), true);
+  assert.equal(servers.isUnreachable('s', 6_000), true);
+  assert.equal(servers.isUnreachable('other', 0), false);
 });
 
-test('a server that was reached again is unreachable no more, whatever older news says', () => {
+test('a server that was reached again stays reachable despite older findings', () => {
   const servers = UnreachableServers.create(FLOW_LIFETIME_MS);
-  servers.take(silentAt('s', 0), 0);
+  servers.merge(silentAt('s', 0), 0);
   assert.equal(
-    servers.take({server: 's', reached: true, at: 2_500, startTime: 0}, 2_510),
+    servers.merge({server: 's', reached: true, at: 2_500, startTime: 0}, 2_510),
     true,
   );
-  assert.equal(servers.has('s', 2_510), false);
-  assert.equal(servers.take(silentAt('s', 2_000), 2_520), false);
-  assert.equal(servers.has('s', 2_520), false);
+  assert.equal(servers.isUnreachable('s', 2_510), false);
+  assert.equal(servers.merge(silentAt('s', 2_000), 2_520), false);
+  assert.equal(servers.isUnreachable('s', 2_520), false);
 });
 
-test('an unreachable server whose entry goes has ended, until its entry is back', () => {
+test('an unreachable server whose entry is removed stays unreachable until the entry is back', () => {
   const servers = UnreachableServers.create(FLOW_LIFETIME_MS);
-  servers.take(silentAt('s', 0), 0);
-  servers.noteDeparted('s', 2_400);
-  servers.noteDeparted('other', 2_400);
-  assert.equal(servers.has('s', 40_000), true);
-  assert.equal(servers.has('other', 2_400), false);
-  servers.noteListed('s');
-  assert.equal(servers.has('s', 40_000), false);
+  servers.merge(silentAt('s', 0), 0);
+  servers.onDeparted('s', 2_400);
+  servers.onDeparted('other', 2_400);
+  assert.equal(servers.isUnreachable('s', 40_000), true);
+  assert.equal(servers.isUnreachable('other', 2_400), false);
+  servers.onListed('s');
+  assert.equal(servers.isUnreachable('s', 40_000), false);
 });
 
-test('findings are told while they are new, and kept in bounds', () => {
+test('only recent findings are gossiped, and their number is bounded', () => {
   const servers = UnreachableServers.create(FLOW_LIFETIME_MS);
   Array.from({length: 2_000}, (_server, index) =>
-    servers.take(silentAt(`s-${index}`, index), index),
+    servers.merge(silentAt(`s-${index}`, index), index),
   );
   assert.equal(servers.selectFindingsToGossip(2_000).length, 40);
   assert.deepEqual(servers.selectFindingsToGossip(2_000)[0].server, 's-1999');
-  assert.ok(servers.all(2_000).length <= 512);
+  assert.ok(servers.list(2_000).length <= 512);
   assert.deepEqual(servers.selectFindingsToGossip(6_000), []);
 });
--- a/src/reachability/unreachable-servers.ts
+++ b/src/reachability/unreachable-servers.ts
@@ -1,45 +1,43 @@
 /**
- * Backend servers that daemons of several failure domains could not reach, as one
- * daemon knows them. A finding holds for a while unless it is confirmed, and ends when
- * somebody reaches the server again.
+ * The fleet's findings on unreachable backend servers, as known to one daemon. A finding
+ * expires unless it is renewed, and ends when any daemon reaches the server.
  */
 
-/**
- * Time for which a finding holds, in milliseconds: until the entry of a server that
- * has ended is gone from the store, and less than a fabric takes to be held to again
- * after a cut.
- */
-const VALID_MS = 3_500;
-/** Time for which a finding is kept, so that an older one does not replace it. */
-const KEPT_MS = 15_000;
-/** Time for which a finding is told in beats, in milliseconds. */
-const TOLD_MS = 3_000;
-/** Findings told in one beat; 25 bytes each. */
-const TOLD_FINDINGS = 40;
-/** Findings kept at the most. */
-const MAXIMUM_FINDINGS = 512;
-/** Difference up to which two times are the same, in milliseconds: hops of news. */
-const DRIFT_MS = 150;
+/** Time for which a finding is valid: longer than a failed server's entry stays listed. */
+const FINDING_VALIDITY_MS = 3_500;
+/** Time for which a finding is kept so that an older one can't replace it. */
+const FINDING_RETENTION_MS = 15_000;
+/** Age up to which a finding is included in heartbeats. */
+const GOSSIP_WINDOW_MS = 3_000;
+/** Limit of findings in one heartbeat; 25 bytes each. */
+const MAX_GOSSIPED_FINDINGS = 40;
+/** Limit of findings kept; the first inserted are dropped first. */
+const MAX_FINDINGS = 512;
+/** Difference of time stamps, from relaying, up to which two findings count as one. */
+const TIME_TOLERANCE_MS = 150;
 
-/** What was found out about a server. */
-export interface ReachFinding {
-  /** The server's id. */
+/** The result of probing a server. */
+export interface ReachabilityFinding {
+  /** Server id. */
   readonly server: string;
   readonly reached: boolean;
-  /** When it was tried last; monotonic milliseconds. */
+  /** Time of the last probe; monotonic milliseconds. */
   readonly at: number;
-  /** The life that was tried: the time of start that the server says; 0: not said. */
+  /** Start time that the probed incarnation reported; 0: none reported. */
   readonly startTime: number;
 }
 
-/** The findings that one daemon knows. */
+/** The newest finding on each server. */
 export class UnreachableServers {
-  private readonly findings = new Map<string, ReachFinding>();
-  /** Unreachable servers whose entries went: they have ended; when to forget them. */
-  private readonly ended = new Map<string, number>();
+  private readonly findings = new Map<string, ReachabilityFinding>();
+  /**
+   * Servers whose entries left the list while they were unreachable, and when to forget
+   * each; monotonic milliseconds.
+   */
+  private readonly endedUntil = new Map<string, number>();
 
   private constructor(
-    /** Time for which a flow may live, in milliseconds. */
+    /** Maximum flow lifetime in milliseconds. */
     private readonly flowLifetimeMs: number,
   ) {}
 
@@ -48,75 +46,77 @@
     return new UnreachableServers(flowLifetimeMs);
   }
 
-  /** Takes a finding; true if it is news that others should hear of. */
-  take(finding: ReachFinding, now: number): boolean {
+  /** Merges a finding; true if it is new and should be gossiped. */
+  merge(finding: ReachabilityFinding, now: number): boolean {
     const known = this.findings.get(finding.server);
-    const isOld =
-      now - finding.at > VALID_MS ||
-      (known !== undefined && finding.at <= known.at + DRIFT_MS);
-    if (isOld) {
+    const isOutdated =
+      now - finding.at > FINDING_VALIDITY_MS ||
+      (known !== undefined && finding.at <= known.at + TIME_TOLERANCE_MS);
+    if (isOutdated) {
       return false;
     }
     this.findings.set(finding.server, finding);
     if (finding.reached) {
-      this.ended.delete(finding.server);
+      this.endedUntil.delete(finding.server);
     }
-    this.keepBounded(now);
+    this.prune(now);
     return true;
   }
 
-  /** Whether a server cannot be reached now, or has ended unreachable. */
-  has(server: string, now: number): boolean {
+  /** Whether a server is unreachable, or ended while it was. */
+  isUnreachable(server: string, now: number): boolean {
     const finding = this.findings.get(server);
     const isValid =
-      finding !== undefined && !finding.reached && now - finding.at <= VALID_MS;
-    return isValid || (this.ended.get(server) ?? -Infinity) > now;
+      finding !== undefined &&
+      !finding.reached &&
+      now - finding.at <= FINDING_VALIDITY_MS;
+    return isValid || (this.endedUntil.get(server) ?? -Infinity) > now;
   }
 
-  /** Servers that cannot be reached now, or have ended unreachable. */
-  all(now: number): string[] {
-    const known = new Set([...this.findings.keys(), ...this.ended.keys()]);
-    return [...known].filter(server => this.has(server, now));
+  /** Ids of the servers for which `isUnreachable` holds. */
+  list(now: number): string[] {
+    const known = new Set([...this.findings.keys(), ...this.endedUntil.keys()]);
+    return [...known].filter(server => this.isUnreachable(server, now));
   }
 
-  /** Notes that a server's entry went; one that was unreachable has ended. */
-  noteDeparted(server: string, now: number): void {
-    if (this.has(server, now)) {
-      this.ended.set(server, now + this.flowLifetimeMs);
+  /** Handles a removed entry: a server that was unreachable counts as ended. */
+  onDeparted(server: string, now: number): void {
+    if (this.isUnreachable(server, now)) {
+      this.endedUntil.set(server, now + this.flowLifetimeMs);
     }
   }
 
-  /** Notes that a server's entry was written, as servers do that live. */
-  noteListed(server: string): void {
-    this.ended.delete(server);
+  /** Handles a written entry: the server that wrote it is running. */
+  onListed(server: string): void {
+    this.endedUntil.delete(server);
   }
 
-  /** Notes that a server started again: what was found of it before says nothing. */
-  noteRestarted(server: string): void {
+  /** Drops the findings on the former incarnation of a server. */
+  onRestarted(server: string): void {
     this.findings.delete(server);
-    this.ended.delete(server);
+    this.endedUntil.delete(server);
   }
 
-  /** Findings to tell in a beat, the newest first. */
-  selectFindingsToGossip(now: number): ReachFinding[] {
+  /** Selects findings for a heartbeat, the newest first. */
+  selectFindingsToGossip(now: number): ReachabilityFinding[] {
     return [...this.findings.values()]
-      .filter(({at}) => now - at <= TOLD_MS)
+      .filter(({at}) => now - at <= GOSSIP_WINDOW_MS)
       .sort((a, b) => b.at - a.at)
-      .slice(0, TOLD_FINDINGS);
+      .slice(0, MAX_GOSSIPED_FINDINGS);
   }
 
-  private keepBounded(now: number): void {
+  private prune(now: number): void {
     this.findings.forEach(({at}, server) => {
-      if (now - at > KEPT_MS) {
+      if (now - at > FINDING_RETENTION_MS) {
         this.findings.delete(server);
       }
     });
-    this.ended.forEach((until, server) => {
+    this.endedUntil.forEach((until, server) => {
       if (until <= now) {
-        this.ended.delete(server);
+        this.endedUntil.delete(server);
       }
     });
-    const surplus = this.findings.size - MAXIMUM_FINDINGS;
+    const surplus = this.findings.size - MAX_FINDINGS;
     [...this.findings.keys()]
       .slice(0, Math.max(0, surplus))
       .forEach(server => this.findings.delete(server));
