--- a/src/ports/backend-servers.ts
+++ b/src/ports/backend-servers.ts
@@ -1,17 +1,17 @@
-/** The port to the backend servers: packets, requests and health. */
+/** Port to the backend servers: packets, requests and health checks. */
 import type {ResultAsync} from 'neverthrow';
 import type {HealthReply, RunReply, RunRequest} from '../generated/request.js';
 
-/** The call surely did not reach the server. */
+/** A call that certainly did not reach the server, so it is safe to retry. */
 export class BackendUnreachable extends Error {
   readonly type = 'BackendUnreachable';
-  /** Creates the failure to reach one server. */
+  /** Creates the failure of a call that was not sent. */
   static create(server: string, cause: string): BackendUnreachable {
     return new BackendUnreachable(`backend server ${server}: ${cause}`);
   }
 }
 
-/** The call was sent and no answer came: the server may have run it. */
+/** A call that was sent and got no reply; the server may have run it. */
 export class BackendSilent extends Error {
   readonly type = 'BackendSilent';
   /** Creates the failure of a call that may have run. */
@@ -22,15 +22,15 @@
   }
 }
 
-/** Why a call to a backend server gave no answer. */
+/** Why a call to a backend server got no reply. */
 export type BackendFailure = BackendUnreachable | BackendSilent;
 
-/** Cancels a call; later calls of the function do nothing. */
+/** Receives the function that cancels a call; only its first use has an effect. */
 export type Cancellation = (cancel: () => void) => void;
 
-/** The backend servers, named by id ("ip:port"). */
+/** Calls to backend servers, which are identified by "ip:port". */
 export abstract class BackendServers {
-  /** Hands a packet on to a server, as the bytes it arrived as. */
+  /** Forwards a packet unchanged. */
   abstract send(server: string, bytes: Uint8Array): void;
   /** Runs one request; `deadline` is monotonic milliseconds. */
   abstract run(
@@ -39,7 +39,7 @@
     deadline: number,
     onCancel?: Cancellation,
   ): ResultAsync<RunReply, BackendFailure>;
-  /** Reads a server's health and load, which lag or mislead. */
+  /** Reads a server's reported health and load, which may be stale or wrong. */
   abstract health(
     server: string,
     deadline: number,
--- a/src/ports/catalog-source.ts
+++ b/src/ports/catalog-source.ts
@@ -1,4 +1,4 @@
-/** The port to the place where routes and backend servers are published. */
+/** Port to the store where operators publish routes and servers register. */
 import type {ResultAsync} from 'neverthrow';
 import type {
   CatalogEvents,
@@ -6,26 +6,26 @@
   ServerListing,
 } from '../catalog/records.js';
 
-/** Why a read gave no result. */
+/** Why a call to the source failed. */
 export const SourceFailureKind = {
-  /** Too many calls are made; nothing was done. */
+  /** Rate limit exceeded; the call had no effect. */
   OVERLOADED: 'overloaded',
-  /** The source turned the call away; nothing was done. */
+  /** The source rejected the call; it had no effect. */
   UNAVAILABLE: 'unavailable',
   /** The connection was refused or closed. */
   DISCONNECTED: 'disconnected',
-  /** No answer before the deadline. */
+  /** No response before the deadline. */
   SILENT: 'silent',
-  /** The events asked for are no longer kept. */
+  /** The source has discarded the requested events. */
   HISTORY_LOST: 'history-lost',
-  /** The answer could not be read. */
+  /** The response could not be decoded. */
   MALFORMED: 'malformed',
 } as const;
 /** One of the kinds in `SourceFailureKind`. */
 export type SourceFailureKind =
   (typeof SourceFailureKind)[keyof typeof SourceFailureKind];
 
-/** A read of the source failed. */
+/** A call to the source failed. */
 export class SourceFailure extends Error {
   readonly type = 'SourceFailure';
 
@@ -46,62 +46,62 @@
   }
 }
 
-/** Everything that is published, as read at once. */
+/** All routes and servers, as of one revision. */
 export interface CatalogReading {
-  /** Undefined while the operators have published none. */
+  /** Undefined if none were ever published. */
   readonly routes: RouteListing | undefined;
   readonly servers: ServerListing;
 }
 
-/** Bytes that daemons keep at the source for daemons that start. */
+/** An encoded catalog that daemons store at the source for starting daemons. */
 export interface CatalogSnapshot {
   readonly bytes: Uint8Array;
-  /** Revision of the source at which they were written. */
+  /** Revision of the source at which it was written. */
   readonly revision: number;
 }
 
-/** What became of a write of the kept copy. */
+/** The result of a conditional write of the snapshot. */
 export interface SnapshotWriteOutcome {
-  /** Whether it was done; else the kept copy had another revision than expected. */
+  /** Whether it was written; if not, the revision was not the expected one. */
   readonly isDone: boolean;
-  /** Revision at which the kept copy was last written; 0: there is none. */
+  /** Revision at which the snapshot was last written; 0 if there is none. */
   readonly revision: number;
 }
 
-/** Where routes and backend servers are published. */
+/** The published routes and backend servers. */
 export abstract class CatalogSource {
   /**
-   * Reads everything by `deadline` (monotonic milliseconds). It ends earlier when
-   * the source does not answer; a slow source may take all the time.
+   * Reads all routes and servers by `deadline` (monotonic milliseconds). Fails earlier if
+   * the source doesn't respond at all.
    */
   abstract readAll(
     deadline: number,
   ): ResultAsync<CatalogReading, SourceFailure>;
   /**
-   * Reads everything as it was at some moment of late, which may lie seconds back, at
-   * a fraction of the price. The revision in it is that of the same moment.
+   * Reads all routes and servers from a replica that may lag by seconds, at a lower cost.
+   * The result is consistent with its revision.
    */
   abstract readStale(
     deadline: number,
   ): ResultAsync<CatalogReading, SourceFailure>;
   /**
-   * Waits until something is written after `revision` or `deadline` comes; the
-   * events are then empty.
+   * Waits for writes after `revision`; the events are empty if there are none until
+   * `deadline`.
    */
   abstract awaitEvents(
     revision: number,
     deadline: number,
   ): ResultAsync<CatalogEvents, SourceFailure>;
   /**
-   * Reads the kept copy as it was at some moment of late, at a fraction of the price;
-   * undefined when there is none.
+   * Reads the snapshot from a replica that may lag, at a lower cost; undefined if there is
+   * none.
    */
   abstract readSnapshot(
     deadline: number,
   ): ResultAsync<CatalogSnapshot | undefined, SourceFailure>;
   /**
-   * Keeps a copy in place of the one that was written at a revision (0: of none). If
-   * another daemon wrote since, nothing changes.
+   * Replaces the snapshot if it was last written at `expectedRevision` (0: it doesn't
+   * exist).
    */
   abstract writeSnapshot(
     bytes: Uint8Array,
--- a/src/ports/clock.ts
+++ b/src/ports/clock.ts
@@ -1,16 +1,16 @@
-/** The time port: a monotonic clock for deadlines and a wall clock for stamps. */
+/** Port to time: a monotonic clock for deadlines and a wall clock for timestamps. */
 
-/** A scheduled call that can be taken back. */
+/** A scheduled call. */
 export interface Timer {
-  /** Takes the call back; a call that already ran is not affected. */
+  /** Cancels the call; no effect if it already ran. */
   cancel(): void;
 }
 
-/** Source of time. All values are milliseconds. */
+/** Source of time, in milliseconds. */
 export abstract class Clock {
-  /** Monotonic milliseconds; only differences and deadlines mean anything. */
+  /** Monotonic milliseconds since an arbitrary origin. */
   abstract now(): number;
-  /** Wall-clock milliseconds since 1970. */
+  /** Milliseconds since the Unix epoch. */
   abstract wall(): number;
   /** Calls `task` once when `deadline` (monotonic milliseconds) is reached. */
   abstract callAt(deadline: number, task: () => void): Timer;
--- a/src/ports/cookie-fabric.ts
+++ b/src/ports/cookie-fabric.ts
@@ -1,37 +1,37 @@
 /**
- * The port to a fabric whose packets carry a cookie: a number that weldyard
- * writes into the packets towards a backend server and that comes back in the
- * caller's later packets. Any daemon can tell a flow's server from it.
+ * Port to a fabric whose packets carry a cookie: a number that a daemon adds to the packets
+ * it forwards and that the caller echoes in later packets. It identifies the flow's server,
+ * so any daemon can forward any packet of the flow.
  */
 import type {CatalogServer} from '../catalog/records.js';
 
-/** A packet of a caller, as much of it as routing reads. */
+/** The fields of a caller's packet that routing needs. */
 export interface CookiePacket {
   readonly sourceAddress: number;
   readonly sourcePort: number;
   readonly destinationAddress: number;
   readonly destinationPort: number;
-  /** First packet of a flow, or a copy of it. */
+  /** Whether it opens a flow; true for retransmissions of the opening packet too. */
   readonly opens: boolean;
-  /** The caller sends nothing after it. */
+  /** Whether the caller closes its sending side. */
   readonly closes: boolean;
-  /** The caller has given the flow up. */
+  /** Whether the caller aborts the flow. */
   readonly resets: boolean;
-  /** 0 while the caller has none. */
+  /** 0 if the caller has not received a cookie yet. */
   readonly cookie: number;
-  /** Position of the packet's data in what the caller sends. */
+  /** Sequence number of the first data byte. */
   readonly sequence: number;
-  /** Position up to which the caller has the server's data. */
+  /** Acknowledgment number: the position up to which the caller has received data. */
   readonly acknowledged: number;
-  /** Which copy of the opening packet it is, from 0; else meaningless. */
+  /** Number of the attempt to open the flow, from 0; meaningless on other packets. */
   readonly openCopy: number;
-  /** Bytes of data. */
+  /** Payload length in bytes. */
   readonly dataLength: number;
   /** The packet as it arrived. */
   readonly bytes: Uint8Array;
 }
 
-/** Where a caller stands in its flow, as a reset to it needs it. */
+/** The fields of a flow's latest packet that a reset to its caller needs. */
 export type CallerPosition = Pick<
   CookiePacket,
   | 'sourceAddress'
@@ -41,18 +41,18 @@
   | 'acknowledged'
 >;
 
-/** A fabric with cookies; packets arrive by callback. */
+/** A fabric with cookies. */
 export abstract class CookieFabric {
-  /** Starts taking packets; malformed datagrams are counted, never handed on. */
+  /** Starts receiving packets; malformed datagrams are counted and dropped. */
   abstract onPacket(handle: (packet: CookiePacket) => void): void;
-  /** Sends a packet on to a server and has the cookie come back later. */
+  /** Forwards a packet to a server together with the cookie for the caller to echo. */
   abstract forward(
     packet: CookiePacket,
     server: CatalogServer,
     cookie: number,
   ): void;
-  /** Tells the caller that its flow is over, or was never opened. */
+  /** Sends the caller a reset of its flow. */
   abstract reset(caller: CallerPosition): void;
-  /** Stops taking packets. */
+  /** Stops receiving packets. */
   abstract close(): void;
 }
--- a/src/ports/counters.ts
+++ b/src/ports/counters.ts
@@ -1,19 +1,19 @@
-/** The port for counters and gauges; names are listed in docs/METRICS.md. */
+/** Port to metrics: counters, gauges and histograms; docs/METRICS.md lists the names. */
 
-/** Names of all counters and gauges. */
+/** Names of all metrics. */
 export const Metric = {
   PACKETS_FORWARDED: 'packets.forwarded',
-  /** Packets of callers sent once more to a server that started again. */
+  /** Callers' packets resent to a restarted server. */
   PACKETS_REPEATED: 'packets.repeated',
   PACKETS_PASSED: 'packets.passed',
   PACKETS_DECIDED_FOR_PEER: 'packets.decided_for_peer',
   PACKETS_UNKNOWN_ADDRESS: 'packets.unknown_address',
   PACKETS_MALFORMED: 'packets.malformed',
-  /** Datagrams that the system refused to send. */
+  /** Datagrams that the operating system failed to send. */
   SEND_FAILURES: 'datagrams.send_failures',
   PACKETS_UNROUTABLE: 'packets.unroutable',
   FLOWS_PLACED_EXCEPTION: 'flows.placed_exception',
-  /** Flows without a request under way that were reset, their server lost. */
+  /** Idle flows that were reset because their server ended or is unreachable. */
   FLOWS_ENDED: 'flows.ended',
   FLOWS_TABLE_FULL: 'flows.table_full',
   FLOWS_HELD: 'flows.held',
@@ -40,14 +40,14 @@
 /** One of the names in `Metric`. */
 export type Metric = (typeof Metric)[keyof typeof Metric];
 
-/** Counts what happens and how long it takes; reading back is for status pages and tests. */
+/** Records metrics. */
 export abstract class Counters {
   /** Adds `by` (default 1) to a counter. */
   abstract add(name: Metric, by?: number): void;
   /** Sets a gauge. */
   abstract set(name: Metric, value: number): void;
-  /** Adds a time in milliseconds to a histogram. */
+  /** Adds a duration in milliseconds to a histogram. */
   abstract observe(name: Metric, milliseconds: number): void;
-  /** All current values of counters and gauges. */
+  /** Returns the current values of all counters and gauges by name. */
   abstract read(): Readonly<Record<string, number>>;
 }
--- a/src/ports/fabric.ts
+++ b/src/ports/fabric.ts
@@ -1,16 +1,16 @@
-/** The port to the fabric, which hands over packets of flows. */
+/** Port to the fabric, which delivers callers' packets. */
 import type {PacketHeader} from '../generated/packet.js';
 
-/** A packet and the bytes that it arrived as. */
+/** A decoded packet header and the datagram as received. */
 export interface FabricPacket {
   readonly packet: PacketHeader;
   readonly bytes: Uint8Array;
 }
 
-/** The fabric: packets arrive by callback. */
+/** The network fabric in front of the daemons. */
 export abstract class Fabric {
-  /** Starts taking packets; malformed datagrams are counted, never handed on. */
+  /** Starts receiving packets; malformed datagrams are counted and dropped. */
   abstract onPacket(handle: (packet: FabricPacket) => void): void;
-  /** Stops taking packets. */
+  /** Stops receiving packets. */
   abstract close(): void;
 }
--- a/src/ports/fleet-channel.ts
+++ b/src/ports/fleet-channel.ts
@@ -1,33 +1,33 @@
-/** The port through which daemons that share a catalog talk to each other. */
+/** Port for messages between daemons that share a catalog. */
 import type {ResultAsync} from 'neverthrow';
 import type {Beat, CatalogUpdate} from '../generated/catalog.js';
 import type {PeerUnavailable} from './peers.js';
 
-/** What a daemon that pulls holds already. */
+/** The versions that a pulling daemon already holds. */
 export interface HeldVersions {
-  /** Address of the daemon that pulls. */
+  /** Address of the pulling daemon. */
   readonly asker: number;
   readonly routeVersion: number;
-  /** Revision as of which its servers are complete; 0 asks for all. */
+  /** Revision up to which its servers are complete; 0 requests all of them. */
   readonly serverRevision: number;
   readonly serverDigest: number;
 }
 
-/** What a daemon does with what its peers send. */
+/** Handlers of messages from peers. */
 export interface FleetHandlers {
-  /** Takes a beat of the daemon at `sender` (IPv4 address as a number). */
+  /** Handles a heartbeat from the daemon at `sender` (IPv4 address as a number). */
   onHeartbeat(sender: number, beat: Beat): void;
-  /** Answers a daemon that holds what the question says. */
+  /** Returns what the catalog holds beyond `held`. */
   onPull(held: HeldVersions): CatalogUpdate;
 }
 
-/** Beats and pulls between daemons, which are named by IPv4 address. */
+/** Heartbeats and pulls between daemons, which are identified by IPv4 address. */
 export abstract class FleetChannel {
   /** Installs the handlers and starts to receive. */
   abstract serve(handlers: FleetHandlers): Promise<void>;
-  /** Sends a beat, which may be lost. */
+  /** Sends a heartbeat, without delivery guarantee. */
   abstract sendHeartbeat(address: number, beat: Beat): void;
-  /** Fetches what a peer holds beyond what is held here. */
+  /** Fetches what a peer's catalog holds beyond `held`. */
   abstract pull(
     address: number,
     held: HeldVersions,
--- a/src/ports/hasher.ts
+++ b/src/ports/hasher.ts
@@ -1,4 +1,4 @@
-/** The port to a hash function that every daemon computes alike. */
+/** Port to a hash function that gives the same results on every daemon. */
 
 /** A seeded 32-bit hash. */
 export abstract class Hasher {
--- a/src/ports/instance-list.ts
+++ b/src/ports/instance-list.ts
@@ -1,4 +1,4 @@
-/** The port to the platform's list of instances, which lags behind reality. */
+/** Port to the platform's list of instances, which is eventually consistent. */
 import type {ResultAsync} from 'neverthrow';
 
 /** What an instance runs. */
@@ -6,7 +6,7 @@
 /** One of the roles in `InstanceRole`. */
 export type InstanceRole = (typeof InstanceRole)[keyof typeof InstanceRole];
 
-/** How the platform sees an instance. */
+/** Lifecycle state of an instance. */
 export const InstanceState = {
   LIVE: 'live',
   LEAVING: 'leaving',
@@ -23,21 +23,21 @@
   readonly address: string;
   readonly failureDomain: string;
   readonly state: InstanceState;
-  /** Grows with each change of the entry. */
+  /** Increases with each change of the entry. */
   readonly version: number;
-  /** Where the fabric hands packets over; empty for backend servers. */
+  /** "ip:port" on which a daemon receives packets; empty for backend servers. */
   readonly fabricAddress: string;
-  /** Where the command line asks; empty for backend servers. */
+  /** "ip:port" that the command-line client connects to; empty for backend servers. */
   readonly controlAddress: string;
 }
 
-/** The list as read at one moment. */
+/** The list as of one version. */
 export interface InstanceListing {
   readonly version: number;
   readonly instances: readonly ListedInstance[];
 }
 
-/** The list did not answer. */
+/** The list could not be read or written. */
 export class InstanceListUnavailable extends Error {
   readonly type = 'InstanceListUnavailable';
   /** Creates the failure of one call. */
@@ -50,7 +50,7 @@
 export abstract class InstanceList {
   /** Reads the whole list. */
   abstract list(): ResultAsync<InstanceListing, InstanceListUnavailable>;
-  /** Announces this process, or a change of its state. */
+  /** Registers this process, or updates its entry; returns the list after it. */
   abstract announce(
     instance: ListedInstance,
   ): ResultAsync<InstanceListing, InstanceListUnavailable>;
--- a/src/ports/log.ts
+++ b/src/ports/log.ts
@@ -1,9 +1,9 @@
-/** The port for structured logs. */
+/** Port to the structured log. */
 
 /** Fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean>>;
 
-/** Writes one line an event; names are short and stable. */
+/** Writes one line per event; event names are stable identifiers. */
 export abstract class Log {
   abstract error(event: string, fields?: LogFields): void;
   abstract warn(event: string, fields?: LogFields): void;
--- a/src/ports/peers.ts
+++ b/src/ports/peers.ts
@@ -1,4 +1,4 @@
-/** The port to the other daemons. */
+/** Port to the other daemons of a fleet that replicates flow state. */
 import type {ResultAsync} from 'neverthrow';
 import type {Hint, PassedPacket, Probe} from '../generated/packet.js';
 import type {CallerReply, CallerRequest} from '../generated/request.js';
@@ -15,7 +15,7 @@
 
   private constructor(
     message: string,
-    /** False when the call surely did not reach the peer. */
+    /** False if the call certainly did not reach the peer. */
     readonly mayHaveRun: boolean,
   ) {
     super(message);
@@ -31,34 +31,34 @@
   }
 }
 
-/** What a daemon does with what its peers send. */
+/** Handlers of messages and calls from peers. */
 export interface PeerHandlers {
   onPassed(sender: string, passed: PassedPacket): void;
   onHint(sender: string, hint: Hint): void;
   onProbe(sender: string, probe: Probe, replyAddress: string): void;
   /**
-   * Takes exceptions from a peer, or hands them on when there is a target;
-   * returns how many were taken.
+   * Stores exceptions from a peer, or forwards them if `target` is not empty; returns the
+   * number accepted.
    */
   onExceptions(
     sender: string,
     exceptions: readonly FlowException[],
     target: string,
   ): number;
-  /** Exceptions that this daemon holds for the partitions, in batches. */
+  /** Returns the exceptions held for the partitions, in batches. */
   onPullState(
     sender: string,
     partitions: readonly number[],
   ): Iterable<FlowException[]>;
   onPullChanges(sender: string, epoch: number, after: number): ChangeList;
   onPullMembers(): MemberList;
-  /** Handles a request whose key this daemon owns by the sender's view. */
+  /** Handles a request whose key this daemon owns, according to the sender. */
   onForward(request: CallerRequest): Promise<CallerReply>;
   onKeepKeys(range: number, records: readonly KeyRecord[]): number;
   onPullKeys(range: number): KeyRecord[];
 }
 
-/** Messages and calls to peers, named by address ("ip:port"). */
+/** Messages and calls to peers, which are identified by "ip:port". */
 export abstract class Peers {
   /** Installs the handlers and starts to receive. */
   abstract serve(handlers: PeerHandlers): Promise<void>;
@@ -66,8 +66,8 @@
   abstract hint(address: string, hint: Hint): void;
   abstract probe(address: string, probe: Probe): void;
   /**
-   * Hands exceptions to a peer and waits for its confirmation. With a target
-   * the peer hands them on to that member.
+   * Sends exceptions to a peer, which forwards them to the member `target` if given.
+   * Returns the number accepted.
    */
   abstract pushExceptions(
     address: string,
@@ -75,7 +75,7 @@
     deadline: number,
     target?: string,
   ): ResultAsync<number, PeerUnavailable>;
-  /** Fetches a peer's exceptions of the partitions. */
+  /** Fetches the exceptions that a peer holds for the partitions. */
   abstract pullState(
     address: string,
     partitions: number[],
@@ -91,20 +91,20 @@
     address: string,
     deadline: number,
   ): ResultAsync<MemberList, PeerUnavailable>;
-  /** Hands a request to the owner of its key. */
+  /** Forwards a request to the owner of its key. */
   abstract forward(
     address: string,
     request: CallerRequest,
     deadline: number,
   ): ResultAsync<CallerReply, PeerUnavailable>;
-  /** Has a peer keep what is known of keys; waits for its confirmation. */
+  /** Replicates the records of idempotency keys to a peer; returns the number accepted. */
   abstract keepKeys(
     address: string,
     range: number,
     records: KeyRecord[],
     deadline: number,
   ): ResultAsync<number, PeerUnavailable>;
-  /** Fetches what a peer knows of the keys of a range. */
+  /** Fetches a peer's records of the keys in a range. */
   abstract pullKeys(
     address: string,
     range: number,
--- a/src/ports/server-contact.ts
+++ b/src/ports/server-contact.ts
@@ -1,19 +1,19 @@
-/** The port through which a daemon finds out whether a backend server's host answers. */
+/** Port for probing whether a backend server's host is reachable. */
 import type {CatalogServer} from '../catalog/records.js';
 
-/** What came of an attempt to reach a server. */
+/** The result of a probe. */
 export const ContactResult = {
-  /** Its host answered in whatever way, or the attempt proves nothing. */
+  /** The host responded in any way, or the probe was inconclusive. */
   REACHED: 'reached',
-  /** Nothing came back in time. */
+  /** No response before the deadline. */
   SILENT: 'silent',
 } as const;
-/** One of the values of `ContactResult`. */
+/** One of the values of `ProbeResult`. */
 export type ContactResult = (typeof ContactResult)[keyof typeof ContactResult];
 
-/** Attempts to reach servers, which cost them no work. */
+/** Probes servers' hosts without sending requests. */
 export abstract class ServerContact {
-  /** Tries to reach a server until `deadline` (monotonic milliseconds). */
+  /** Probes a server's host until `deadline` (monotonic milliseconds). */
   abstract reach(
     server: Pick<CatalogServer, 'address' | 'port'>,
     deadline: number,
--- a/src/ports/store.ts
+++ b/src/ports/store.ts
@@ -1,32 +1,32 @@
-/** The port to the platform's key-value store. */
+/** Port to the platform's key-value store. */
 import type {ResultAsync} from 'neverthrow';
 
 /** A value read from the store. */
 export interface StoredValue {
   readonly key: string;
   readonly value: Uint8Array;
-  /** Grows with each write of the key; 0 when the key is absent. */
+  /** Increases with each write of the key; 0 if the key is absent. */
   readonly version: number;
 }
 
-/** The answer to a compare-and-swap. */
+/** The result of a compare-and-swap. */
 export interface SwapOutcome {
   readonly swapped: boolean;
-  /** The version and value now in the store. */
+  /** The version and value in the store after the call. */
   readonly current: StoredValue;
 }
 
-/** A lease as its holder sees it. */
+/** The state of a lease after a call. */
 export interface LeaseGrant {
   readonly held: boolean;
   readonly holder: string;
-  /** Monotonic milliseconds, counted from before the call: never too late. */
+  /** Expiry in monotonic milliseconds, counted from before the call so it is never late. */
   readonly deadline: number;
-  /** Grows with each new holder of the key. */
+  /** Fencing token: increases with each new holder of the key. */
   readonly token: number;
 }
 
-/** The store did not answer; a write may or may not have taken effect. */
+/** The store did not respond; a write may or may not have taken effect. */
 export class StoreUnavailable extends Error {
   readonly type = 'StoreUnavailable';
   /** Creates the failure of one call. */
@@ -35,46 +35,46 @@
   }
 }
 
-/** The value is larger than the store takes. */
+/** The value is larger than the store accepts. */
 export class ValueTooLarge extends Error {
   readonly type = 'ValueTooLarge';
-  /** Creates the refusal of a value of `bytes` bytes. */
+  /** Creates the failure for a value of `bytes` bytes. */
   static create(key: string, bytes: number): ValueTooLarge {
     return new ValueTooLarge(
-      `value of ${key} has ${bytes} bytes; the store takes ${MAXIMUM_VALUE_BYTES}`,
+      `value of ${key} has ${bytes} bytes; the store accepts at most ${MAXIMUM_VALUE_BYTES}`,
     );
   }
 }
 
-/** Why a store call gave no result. */
+/** Why a store call failed. */
 export type StoreFailure = StoreUnavailable | ValueTooLarge;
 
-/** Largest value the store takes, in bytes. */
+/** Largest value that the store accepts. */
 export const MAXIMUM_VALUE_BYTES = 1_000_000;
 
-/** Key-value store with compare-and-swap, leases and waiting watches. */
+/** Key-value store with compare-and-swap, leases and long-polling watches. */
 export abstract class Store {
   /** Reads a key. */
   abstract get(key: string): ResultAsync<StoredValue, StoreFailure>;
-  /** Writes `value` if the key is still at `expectedVersion` (0: absent). */
+  /** Writes `value` if the key is at `expectedVersion` (0: absent). */
   abstract compareAndSwap(
     key: string,
     value: Uint8Array,
     expectedVersion: number,
   ): ResultAsync<SwapOutcome, StoreFailure>;
-  /** Waits until the key passes `afterVersion` or `deadline` comes, then reads it. */
+  /** Reads the key once its version exceeds `afterVersion`, or at `deadline`. */
   abstract watch(
     key: string,
     afterVersion: number,
     deadline: number,
   ): ResultAsync<StoredValue, StoreFailure>;
-  /** Takes or renews a lease that ends at `deadline`. */
+  /** Acquires or renews a lease that expires at `deadline`. */
   abstract acquireLease(
     key: string,
     holder: string,
     deadline: number,
   ): ResultAsync<LeaseGrant, StoreFailure>;
-  /** Gives a lease back. */
+  /** Releases a lease. */
   abstract releaseLease(
     key: string,
     holder: string,
--- a/src/ports/timeline.ts
+++ b/src/ports/timeline.ts
@@ -1,6 +1,6 @@
-/** The port that keeps the time line of typed events of one process. */
+/** Port to the timeline of one process's events. */
 
-/** What an event tells. */
+/** Kinds of events. */
 export const EventKind = {
   STARTED: 'started',
   READY: 'ready',
@@ -24,13 +24,13 @@
 /** One of the kinds in `EventKind`. */
 export type EventKind = (typeof EventKind)[keyof typeof EventKind];
 
-/** A hybrid logical clock's stamp: wall milliseconds, then a counter. */
+/** Timestamp of a hybrid logical clock: wall-clock milliseconds and a counter. */
 export interface Stamp {
   readonly physicalMs: number;
   readonly logical: number;
 }
 
-/** One event of one process. */
+/** A recorded event. */
 export interface TimelineRecord {
   readonly process: string;
   readonly stamp: Stamp;
@@ -38,15 +38,15 @@
   readonly detail: Readonly<Record<string, string | number | boolean>>;
 }
 
-/** Bounded record of events of this process. */
+/** Bounded log of this process's events. */
 export abstract class Timeline {
-  /** Records an event now. */
+  /** Records an event with the current timestamp. */
   abstract record(
     kind: EventKind,
     detail: Readonly<Record<string, string | number | boolean>>,
   ): void;
-  /** Takes a stamp received from another process into account. */
+  /** Advances the clock past a timestamp received from another process. */
   abstract observe(stamp: Stamp): void;
-  /** The newest `limit` events, oldest first. */
+  /** Returns the newest `limit` events, oldest first. */
   abstract recent(limit: number): readonly TimelineRecord[];
 }
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -33,7 +33,7 @@
 const IGNORE_FINDINGS_MS = 3_500;
 /** Limit of concurrent polls. */
 const MAX_POLLS = 16;
-/** Concurrent probes from which requests of peers are declined. */
+/** Concurrent probes from which probes for peers and verifications are skipped. */
 const MAX_PROBES = 64;
 /** Limit of cooldowns kept; the oldest is dropped first. */
 const MAX_COOLDOWNS = 1_024;
