--- a/src/entry/evacuation.spec.ts
+++ b/src/entry/evacuation.spec.ts
@@ -1,7 +1,6 @@
 /**
- * Evacuations of failure domains: how soon every daemon keeps new flows from their
- * servers, calm and while store, peers and daemons are disturbed, and what becomes of
- * open flows and of services that have no other server.
+ * Evacuation of failure domains: the time until all daemons stop opening flows there, with
+ * and without faults, and the effect on open flows and on services without other servers.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -26,7 +25,7 @@
 const DOMAINS = ['a', 'b', 'c'];
 const LONG_CALL_MS = 20_000;
 
-async function createWorld(
+async function createPlatform(
   daemons = 6,
   plan: Partial<SimulationPlan> = {},
 ): Promise<SimulatedPlatform> {
@@ -47,245 +46,260 @@
   );
 }
 
-/** Domains of the servers that take the flows of new callers. */
-async function domainsTaken(
-  world: SimulatedPlatform,
+/** Opens flows and counts them by the failure domain of their server. */
+async function countDomainsOfNewFlows(
+  platform: SimulatedPlatform,
   count = 60,
 ): Promise<Map<string, number>> {
-  const callers = Array.from({length: count}, () => world.call(PAY, 1, 3_000));
-  await world.clock.advance(1_000);
-  return countDomains(world, callers);
+  const callers = Array.from({length: count}, () =>
+    platform.call(PAY, 1, 3_000),
+  );
+  await platform.clock.advance(1_000);
+  return countDomains(platform, callers);
 }
 
 function countDomains(
-  world: SimulatedPlatform,
+  platform: SimulatedPlatform,
   callers: readonly CookieCaller[],
 ): Map<string, number> {
   const domains = new Map<string, number>();
   callers.forEach(({server}) => {
-    const domain = world.serverOf(server ?? '')?.entry.failureDomain ?? 'none';
+    const domain =
+      platform.serverOf(server ?? '')?.entry.failureDomain ?? 'none';
     domains.set(domain, (domains.get(domain) ?? 0) + 1);
   });
   return domains;
 }
 
-/** Daemons that run and do not know a domain as evacuated. */
-function ignorant(world: SimulatedPlatform, domain: string): string[] {
-  return [...world.daemons.values()].flatMap(({name, running}) =>
+/** Names of running daemons that don't know that a domain is evacuated. */
+function daemonsUnawareOf(
+  platform: SimulatedPlatform,
+  domain: string,
+): string[] {
+  return [...platform.daemons.values()].flatMap(({name, running}) =>
     running === undefined || running.catalog.evacuatedDomains().includes(domain)
       ? []
       : [name],
   );
 }
 
-/** Evacuates a domain; until all daemons know it, in milliseconds. */
-async function timeToKnow(
-  world: SimulatedPlatform,
+/** Evacuates a domain; returns the milliseconds until all daemons know it. */
+async function timeUntilKnown(
+  platform: SimulatedPlatform,
   domain: string,
 ): Promise<number> {
-  const from = world.clock.now();
-  world.evacuate(domain);
-  while (ignorant(world, domain).length > 0) {
-    assert.ok(world.clock.now() - from < 20_000, `unknown to many: ${domain}`);
-    await world.clock.advance(10);
+  const from = platform.clock.now();
+  platform.evacuate(domain);
+  while (daemonsUnawareOf(platform, domain).length > 0) {
+    assert.ok(
+      platform.clock.now() - from < 20_000,
+      `${domain} not known as evacuated after 20 s`,
+    );
+    await platform.clock.advance(10);
   }
-  return world.clock.now() - from;
+  return platform.clock.now() - from;
 }
 
-/** Starts a caller each 20 ms for a while. */
+/** Starts a caller every 20 ms for `lastsMs`. */
 async function callFor(
-  world: SimulatedPlatform,
+  platform: SimulatedPlatform,
   lastsMs: number,
 ): Promise<void> {
   const rounds = Math.floor(lastsMs / 20);
   for (let round = 0; round < rounds; round += 1) {
-    world.call(round % 3 === 0 ? DOCS : PAY, 1 + (round % 4), 3_000);
-    await world.clock.advance(20);
+    platform.call(round % 3 === 0 ? DOCS : PAY, 1 + (round % 4), 3_000);
+    await platform.clock.advance(20);
   }
 }
 
 [6, 30, 90, 195].forEach(daemons =>
-  test(`${daemons} calm daemons all know of an evacuation, and of its end, within a second`, async () => {
-    const world = await createWorld(daemons);
-    const took = await timeToKnow(world, 'c');
+  test(`${daemons} daemons without faults all know of an evacuation, and of its end, within a second`, async () => {
+    const platform = await createPlatform(daemons);
+    const took = await timeUntilKnown(platform, 'c');
     assert.ok(took <= 1_000, `${took} ms`);
-    assert.equal((await domainsTaken(world)).has('c'), false);
-    world.restore('c');
-    await world.clock.advance(1_000);
-    assert.equal(ignorant(world, 'c').length, daemons);
+    assert.equal((await countDomainsOfNewFlows(platform)).has('c'), false);
+    platform.restore('c');
+    await platform.clock.advance(1_000);
+    assert.equal(daemonsUnawareOf(platform, 'c').length, daemons);
     // The restored servers may be cold for a moment.
-    await world.clock.advance(1_200);
-    assert.ok(((await domainsTaken(world)).get('c') ?? 0) > 0);
+    await platform.clock.advance(1_200);
+    assert.ok(((await countDomainsOfNewFlows(platform)).get('c') ?? 0) > 0);
   }),
 );
 
-test('flows that are open stay at the servers of an evacuated domain', async () => {
-  const world = await createWorld();
+test('open flows stay on the servers of an evacuated domain', async () => {
+  const platform = await createPlatform();
   const callers = Array.from({length: 30}, () =>
-    world.call(PAY, 300, LONG_CALL_MS),
+    platform.call(PAY, 300, LONG_CALL_MS),
   );
-  await world.clock.advance(500);
-  assert.ok((countDomains(world, callers).get('c') ?? 0) > 0);
-  world.evacuate('c');
-  await world.clock.advance(LONG_CALL_MS);
-  assert.equal(world.tally.ends.answered, callers.length);
-  assert.deepEqual(world.broken, []);
+  await platform.clock.advance(500);
+  assert.ok((countDomains(platform, callers).get('c') ?? 0) > 0);
+  platform.evacuate('c');
+  await platform.clock.advance(LONG_CALL_MS);
+  assert.equal(platform.tally.ends.answered, callers.length);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('the copy of an opening that waited is not sent to an evacuated domain', async () => {
-  const world = await createWorld();
-  world.evacuate('a');
-  world.evacuate('b');
-  await world.clock.advance(1_000);
-  // The servers of the only domain left say nothing, so copies are sent.
-  world
+test('a retransmitted opening packet is not sent to an evacuated domain', async () => {
+  const platform = await createPlatform();
+  platform.evacuate('a');
+  platform.evacuate('b');
+  await platform.clock.advance(1_000);
+  // No server of the only domain left responds, so callers retransmit.
+  platform
     .liveServers('pay')
     .filter(({entry}) => entry.failureDomain === 'c')
-    .forEach(server => world.pauseServer(server, 1_000));
-  await callFor(world, 600);
-  world.evacuate('c');
-  world.restore('a');
-  await world.clock.advance(600);
-  const taken = await domainsTaken(world);
+    .forEach(server => platform.pauseServer(server, 1_000));
+  await callFor(platform, 600);
+  platform.evacuate('c');
+  platform.restore('a');
+  await platform.clock.advance(600);
+  const taken = await countDomainsOfNewFlows(platform);
   assert.deepEqual([...taken.keys()], ['a']);
-  await world.clock.advance(6_000);
-  assert.deepEqual(world.broken, []);
+  await platform.clock.advance(6_000);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('silence of most of a service that is left has no flow go to an evacuated domain', async () => {
-  const world = await createWorld();
-  world.evacuate('c');
-  await world.clock.advance(6_000);
-  world
+test('no flow goes to an evacuated domain although most other servers are unresponsive', async () => {
+  const platform = await createPlatform();
+  platform.evacuate('c');
+  await platform.clock.advance(6_000);
+  platform
     .liveServers('pay')
     .filter(({entry}) => entry.failureDomain !== 'c')
     .slice(0, 5)
-    .forEach(server => world.pauseServer(server, 5_000));
-  await callFor(world, 4_000);
-  assert.deepEqual(world.broken, []);
+    .forEach(server => platform.pauseServer(server, 5_000));
+  await callFor(platform, 4_000);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('a service without a server that is left is refused at once, until a domain is restored', async () => {
-  const world = await createWorld();
-  DOMAINS.forEach(domain => world.evacuate(domain));
-  await world.clock.advance(1_000);
-  const before = world.tally.ends.refused;
-  Array.from({length: 20}, () => world.call(PAY, 1, 3_000));
-  await world.clock.advance(10);
-  assert.equal(world.tally.ends.refused - before, 20);
-  world.restore('b');
-  await world.clock.advance(500);
-  assert.deepEqual([...(await domainsTaken(world)).keys()], ['b']);
+test('a service whose domains are all evacuated is refused at once, until one is restored', async () => {
+  const platform = await createPlatform();
+  DOMAINS.forEach(domain => platform.evacuate(domain));
+  await platform.clock.advance(1_000);
+  const before = platform.tally.ends.refused;
+  Array.from({length: 20}, () => platform.call(PAY, 1, 3_000));
+  await platform.clock.advance(10);
+  assert.equal(platform.tally.ends.refused - before, 20);
+  platform.restore('b');
+  await platform.clock.advance(500);
+  assert.deepEqual([...(await countDomainsOfNewFlows(platform)).keys()], ['b']);
 });
 
-test('evacuated and restored within a second, twice at once, without servers: nothing is left behind', async () => {
-  const world = await createWorld();
-  ['c', 'nowhere', 'c'].forEach(domain => world.evacuate(domain));
-  await world.clock.advance(300);
-  world.restore('c');
-  await world.clock.advance(300);
-  world.evacuate('c');
-  world.restore('c');
-  await world.clock.advance(1_000);
-  assert.equal(ignorant(world, 'c').length, 6);
-  assert.equal(ignorant(world, 'nowhere').length, 0);
-  assert.equal((await domainsTaken(world)).size, DOMAINS.length);
+test('rapid, repeated and serverless evacuations and restorations leave no stale state', async () => {
+  const platform = await createPlatform();
+  ['c', 'nowhere', 'c'].forEach(domain => platform.evacuate(domain));
+  await platform.clock.advance(300);
+  platform.restore('c');
+  await platform.clock.advance(300);
+  platform.evacuate('c');
+  platform.restore('c');
+  await platform.clock.advance(1_000);
+  assert.equal(daemonsUnawareOf(platform, 'c').length, 6);
+  assert.equal(daemonsUnawareOf(platform, 'nowhere').length, 0);
+  assert.equal((await countDomainsOfNewFlows(platform)).size, DOMAINS.length);
 });
 
-test('daemons that all start again from an old copy keep an evacuation, and learn of one within 1.5 s', async () => {
-  const world = await createWorld(30);
-  // Old copies lie before the evacuation of "c".
-  world.store.lagMs = 6_000;
-  world.evacuate('a');
-  await world.clock.advance(7_000);
-  world.evacuate('c');
-  await world.clock.advance(500);
-  const names = [...world.daemons.keys()];
-  names.forEach(name => world.killDaemon(name));
-  await world.clock.advance(500);
-  await Promise.all(names.map(name => world.startDaemon(name)));
-  await world.clock.advance(100);
-  assert.equal(ignorant(world, 'a').length, 0);
-  await world.clock.advance(1_400);
-  assert.equal(ignorant(world, 'c').length, 0);
+test('daemons that all restart from a stale catalog keep an evacuation, and learn of a later one within 1.5 s', async () => {
+  const platform = await createPlatform(30);
+  // Stale reads predate the evacuation of "c".
+  platform.store.lagMs = 6_000;
+  platform.evacuate('a');
+  await platform.clock.advance(7_000);
+  platform.evacuate('c');
+  await platform.clock.advance(500);
+  const names = [...platform.daemons.keys()];
+  names.forEach(name => platform.killDaemon(name));
+  await platform.clock.advance(500);
+  await Promise.all(names.map(name => platform.startDaemon(name)));
+  await platform.clock.advance(100);
+  assert.equal(daemonsUnawareOf(platform, 'a').length, 0);
+  await platform.clock.advance(1_400);
+  assert.equal(daemonsUnawareOf(platform, 'c').length, 0);
 });
 
-test('one daemon that starts from an old copy learns of an evacuation from its peers at once', async () => {
-  const world = await createWorld(30);
-  world.store.lagMs = 6_000;
-  world.evacuate('c');
-  await world.clock.advance(1_000);
-  world.killDaemon('d7');
-  await world.clock.advance(500);
-  await world.startDaemon('d7');
-  await world.clock.advance(300);
-  assert.deepEqual(ignorant(world, 'c'), []);
+test('a daemon that starts from a stale catalog learns of an evacuation from its peers at once', async () => {
+  const platform = await createPlatform(30);
+  platform.store.lagMs = 6_000;
+  platform.evacuate('c');
+  await platform.clock.advance(1_000);
+  platform.killDaemon('d7');
+  await platform.clock.advance(500);
+  await platform.startDaemon('d7');
+  await platform.clock.advance(300);
+  assert.deepEqual(daemonsUnawareOf(platform, 'c'), []);
 });
 
-test('a daemon cut off from store and peers keeps the evacuation that it knows', async () => {
-  const world = await createWorld();
-  world.evacuate('c');
-  await world.clock.advance(1_000);
-  world.cutFromPeers('d4', true);
-  world.store.outages.set('d4', OutageKind.SILENT);
-  await world.clock.advance(10_000);
-  assert.deepEqual(ignorant(world, 'c'), []);
-  world.restore('c');
-  await world.clock.advance(5_000);
-  // Load is uneven meanwhile: one daemon of six leaves a third of the servers out.
-  assert.equal(ignorant(world, 'c').length, 5);
-  world.cutFromPeers('d4', false);
-  await world.clock.advance(3_000);
-  assert.equal(ignorant(world, 'c').length, 6);
+test('a daemon partitioned from the store and its peers keeps the evacuation that it knows', async () => {
+  const platform = await createPlatform();
+  platform.evacuate('c');
+  await platform.clock.advance(1_000);
+  platform.cutFromPeers('d4', true);
+  platform.store.outages.set('d4', OutageKind.SILENT);
+  await platform.clock.advance(10_000);
+  assert.deepEqual(daemonsUnawareOf(platform, 'c'), []);
+  platform.restore('c');
+  await platform.clock.advance(5_000);
+  // One of six daemons still avoids a third of the servers.
+  assert.equal(daemonsUnawareOf(platform, 'c').length, 5);
+  platform.cutFromPeers('d4', false);
+  await platform.clock.advance(3_000);
+  assert.equal(daemonsUnawareOf(platform, 'c').length, 6);
 });
 
-/** Troubles that last while a domain is evacuated; daemons that are bound know in time. */
-const TROUBLES: Readonly<Record<string, (world: SimulatedPlatform) => void>> = {
-  'a third turned away by the store': world =>
-    turnAway(world, (_name, index) => index % 3 === 0),
-  'all but five turned away by the store': world =>
-    turnAway(world, (_name, index) => index >= 5),
-  'a store that takes 240 ms an answer': world => {
-    world.store.answerMs = 240;
+/** Faults that last during an evacuation, within which its time bound holds. */
+const FAULT_SCENARIOS: Readonly<
+  Record<string, (platform: SimulatedPlatform) => void>
+> = {
+  'a third of the daemons rejected by the store': platform =>
+    rejectCalls(platform, (_name, index) => index % 3 === 0),
+  'all but five daemons rejected by the store': platform =>
+    rejectCalls(platform, (_name, index) => index >= 5),
+  'a store with 240 ms of latency': platform => {
+    platform.store.answerMs = 240;
   },
-  'history forgotten every second': world => forgetEvery(world, 1_000),
-  'a fifth of the datagrams between daemons lost': world => {
-    world.network.loss = 0.2;
+  'store events discarded every second': platform =>
+    discardEventsEvery(platform, 1_000),
+  'a fifth of the datagrams between daemons lost': platform => {
+    platform.network.loss = 0.2;
   },
-  'both readers killed': world =>
-    readersOf(world).forEach(name => world.killDaemon(name)),
-  'both readers cut off from their peers': world =>
-    readersOf(world).forEach(name => world.cutFromPeers(name, true)),
-  'both readers turned away by a silent store': world =>
-    readersOf(world).forEach(name =>
-      world.store.outages.set(name, OutageKind.SILENT),
+  'both readers killed': platform =>
+    readersOf(platform).forEach(name => platform.killDaemon(name)),
+  'both readers partitioned from their peers': platform =>
+    readersOf(platform).forEach(name => platform.cutFromPeers(name, true)),
+  'both readers without responses from the store': platform =>
+    readersOf(platform).forEach(name =>
+      platform.store.outages.set(name, OutageKind.SILENT),
     ),
-  'a fifth of the daemons cut off from their peers': world =>
-    [...world.daemons.keys()]
+  'a fifth of the daemons partitioned from their peers': platform =>
+    [...platform.daemons.keys()]
       .filter((_name, index) => index % 5 === 0)
-      .forEach(name => world.cutFromPeers(name, true)),
+      .forEach(name => platform.cutFromPeers(name, true)),
 };
 
-function turnAway(
-  world: SimulatedPlatform,
-  isMet: (name: string, index: number) => boolean,
+function rejectCalls(
+  platform: SimulatedPlatform,
+  isAffected: (name: string, index: number) => boolean,
 ): void {
-  [...world.daemons.keys()]
-    .filter(isMet)
-    .forEach(name => world.store.outages.set(name, OutageKind.BUSY));
+  [...platform.daemons.keys()]
+    .filter(isAffected)
+    .forEach(name => platform.store.outages.set(name, OutageKind.BUSY));
 }
 
-function forgetEvery(world: SimulatedPlatform, everyMs: number): void {
-  world.store.forgetHistory();
-  world.clock.callAt(world.clock.now() + everyMs, () =>
-    forgetEvery(world, everyMs),
+function discardEventsEvery(
+  platform: SimulatedPlatform,
+  everyMs: number,
+): void {
+  platform.store.forgetHistory();
+  platform.clock.callAt(platform.clock.now() + everyMs, () =>
+    discardEventsEvery(platform, everyMs),
   );
 }
 
-/** Daemons that wait at the store, by their own last word on it. */
-function readersOf(world: SimulatedPlatform): string[] {
+/** Daemons that read the store, according to their last log line about it. */
+function readersOf(platform: SimulatedPlatform): string[] {
   const waits = new Map<string, boolean>();
-  world.lines
+  platform.lines
     .filter(({event}) => event === 'reader-changed')
     .forEach(({process, fields}) =>
       waits.set(process, fields['waits'] === true),
@@ -293,13 +307,13 @@
   return [...waits.keys()].filter(name => waits.get(name) === true);
 }
 
-Object.entries(TROUBLES).forEach(([name, bringAbout]) =>
-  test(`two domains evacuated one after the other are known within the bound: ${name}`, async () => {
-    const world = await createWorld(30);
-    await world.clock.advance(2_000);
-    bringAbout(world);
-    const first = await timeToKnow(world, 'c');
-    const second = await timeToKnow(world, 'a');
+Object.entries(FAULT_SCENARIOS).forEach(([name, inject]) =>
+  test(`two successive evacuations are known to all daemons within the bound: ${name}`, async () => {
+    const platform = await createPlatform(30);
+    await platform.clock.advance(2_000);
+    inject(platform);
+    const first = await timeUntilKnown(platform, 'c');
+    const second = await timeUntilKnown(platform, 'a');
     const took = Math.max(first, second);
     assert.ok(took < BOUNDS.evacuationMs, `${took} ms`);
   }),
@@ -325,19 +339,19 @@
   {minLength: 2, maxLength: 8},
 );
 
-test('no flow opens in an evacuated domain after the bound, under planned work, crashes and lost history', async () => {
+test('no flow opens in an evacuated domain after the bound, under maintenance, crashes and discarded store events', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({min: 1, max: 1e6}),
       FAULTS,
       async (seed, faults) => {
-        const world = await createWorld(6, {seed});
+        const platform = await createPlatform(6, {seed});
         for (const fault of faults) {
-          await callFor(world, fault.afterMs);
-          injectFault(world, fault, [PAY, DOCS]);
+          await callFor(platform, fault.afterMs);
+          injectFault(platform, fault, [PAY, DOCS]);
         }
-        await callFor(world, 9_000);
-        assert.deepEqual(world.broken, []);
+        await callFor(platform, 9_000);
+        assert.deepEqual(platform.broken, []);
       },
     ),
     {
--- a/src/entry/flow-terminator.spec.ts
+++ b/src/entry/flow-terminator.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Callers whose servers start again under their ids, fall silent while flows there are
- * idle, or have entries that cannot be read: who is told, how soon, and who never is.
+ * Flows of servers that restart under the same id, become unreachable, or have unreadable
+ * entries: which are reset, how soon, and which must never be.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -20,11 +20,11 @@
 const PAY = createRoute('pay', {address: 0xc6120001, port: 443});
 const LONG_CALL_MS = 60_000;
 const MANY_REQUESTS = 5_000;
-/** Work that outlasts a test. */
+/** Longer than a test. */
 const LONG_WORK_MS = 30_000;
 const FEEDBACK = {feedback: true, pressure: false};
 
-async function createWorld(plan: Partial<SimulationPlan> = {}) {
+async function createPlatform(plan: Partial<SimulationPlan> = {}) {
   return SimulatedPlatform.create(
     {
       seed: 7,
@@ -41,28 +41,28 @@
   );
 }
 
-/** A world whose servers work on each request for longer than a test lasts. */
-function createBusyWorld(
+/** A platform whose servers answer no request during a test. */
+function createBusyPlatform(
   plan: Partial<SimulationPlan> = {},
 ): Promise<SimulatedPlatform> {
   const services = [
     {name: 'pay', servers: 10, slots: 20, workMs: LONG_WORK_MS},
   ];
-  return createWorld({services, ...plan});
+  return createPlatform({services, ...plan});
 }
 
-/** Opens flows over a second or a pause, with such a pause after each answer. */
+/** Opens flows spread over `pauseMs`, at least 1 s; callers pause after each answer. */
 async function openFlows(
-  world: SimulatedPlatform,
+  platform: SimulatedPlatform,
   count: number,
   pauseMs = 0,
 ): Promise<CookieCaller[]> {
-  const {clock} = world;
+  const {clock} = platform;
   const callers: CookieCaller[] = [];
   const spanMs = Math.max(pauseMs, 1_000);
   Array.from({length: count}, (_flow, index) =>
     clock.callAt(clock.now() + (spanMs * index) / count, () =>
-      callers.push(world.call(PAY, MANY_REQUESTS, LONG_CALL_MS, pauseMs)),
+      callers.push(platform.call(PAY, MANY_REQUESTS, LONG_CALL_MS, pauseMs)),
     ),
   );
   await clock.advance(spanMs + 100);
@@ -81,154 +81,157 @@
   return callers.filter(({ending}) => ending !== undefined);
 }
 
-function linesOf(world: SimulatedPlatform, kind: string) {
-  return world.lines.filter(({event}) => event === kind);
+function linesOf(platform: SimulatedPlatform, kind: string) {
+  return platform.lines.filter(({event}) => event === kind);
 }
 
 [
-  {features: FEEDBACK, told: 'at once'},
-  {features: undefined, told: 'never'},
-].forEach(({features, told}) =>
-  test(`callers that wait at a former life are told by its server ${told}, feedback ${features === undefined ? 'off' : 'on'}`, async () => {
-    const world = await createBusyWorld({features});
-    const callers = await openFlows(world, 60);
-    const [server] = world.liveServers('pay');
+  {features: FEEDBACK, when: 'at once'},
+  {features: undefined, when: 'never'},
+].forEach(({features, when}) =>
+  test(`callers waiting for a restarted server are reset by it ${when}, feedback ${features === undefined ? 'off' : 'on'}`, async () => {
+    const platform = await createBusyPlatform({features});
+    const callers = await openFlows(platform, 60);
+    const [server] = platform.liveServers('pay');
     const waiting = flowsAt(callers, [server]);
-    world.restartServer(server);
-    await world.clock.advance(1_000);
+    platform.restartServer(server);
+    await platform.clock.advance(1_000);
     assert.ok(waiting.length >= 4, `${waiting.length} flows`);
     const ended = endedOf(callers);
-    assert.equal(ended.length, told === 'never' ? 0 : waiting.length);
+    assert.equal(ended.length, when === 'never' ? 0 : waiting.length);
     assert.ok(ended.every(({ending}) => ending === 'refused'));
-    assert.equal(linesOf(world, 'flow-reset').length, 0);
-    const flows = linesOf(world, 'server-restarted').map(({fields}) =>
+    assert.equal(linesOf(platform, 'flow-reset').length, 0);
+    const flows = linesOf(platform, 'server-restarted').map(({fields}) =>
       Number(fields['flows']),
     );
     const sum = flows.reduce((total, each) => total + each, 0);
-    assert.equal(sum, told === 'never' ? 0 : waiting.length);
-    assert.deepEqual(world.broken, []);
+    assert.equal(sum, when === 'never' ? 0 : waiting.length);
+    assert.deepEqual(platform.broken, []);
   }),
 );
 
-test('callers at a former life are told when its server comes out of a cut, or elsewhere', async () => {
-  const world = await createBusyWorld();
-  const callers = await openFlows(world, 60);
-  const [cut, moved] = world.liveServers('pay');
+test('callers of a restarted server are reset after its partition heals, or at its new address', async () => {
+  const platform = await createBusyPlatform();
+  const callers = await openFlows(platform, 60);
+  const [cut, moved] = platform.liveServers('pay');
   const waiting = flowsAt(callers, [cut, moved]);
-  world.pauseServer(world.restartServer(cut), 3_000);
-  world.moveServer(moved);
-  await world.clock.advance(2_500);
+  platform.pauseServer(platform.restartServer(cut), 3_000);
+  platform.moveServer(moved);
+  await platform.clock.advance(2_500);
   const early = endedOf(callers);
   assert.deepEqual(new Set(early), new Set(flowsAt(callers, [moved])));
-  await world.clock.advance(3_000);
+  await platform.clock.advance(3_000);
   assert.equal(endedOf(callers).length, waiting.length);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('packets of open flows go where a server is that started again elsewhere', async () => {
-  const world = await createBusyWorld({features: undefined, confirms: false});
-  const callers = await openFlows(world, 60);
-  const moved = world.liveServers('pay').slice(0, 3);
+test('packets of open flows follow a server that restarted at another address', async () => {
+  const platform = await createBusyPlatform({
+    features: undefined,
+    confirms: false,
+  });
+  const callers = await openFlows(platform, 60);
+  const moved = platform.liveServers('pay').slice(0, 3);
   const waiting = flowsAt(callers, moved);
-  moved.forEach(server => world.moveServer(server));
+  moved.forEach(server => platform.moveServer(server));
   // Callers whose requests were not confirmed send them again.
-  await world.clock.advance(2_500);
+  await platform.clock.advance(2_500);
   assert.ok(waiting.length >= 9, `${waiting.length} flows`);
   assert.equal(endedOf(waiting).length, waiting.length);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('callers at a former life are told though a fifth of the beats between daemons is lost', async () => {
-  const world = await createBusyWorld();
-  world.network.loss = 0.2;
-  const callers = await openFlows(world, 60);
-  const [server] = world.liveServers('pay');
-  world.restartServer(server);
-  await world.clock.advance(2_500);
+test('callers of a restarted server are reset although a fifth of the heartbeats is lost', async () => {
+  const platform = await createBusyPlatform();
+  platform.network.loss = 0.2;
+  const callers = await openFlows(platform, 60);
+  const [server] = platform.liveServers('pay');
+  platform.restartServer(server);
+  await platform.clock.advance(2_500);
   const waiting = flowsAt(callers, [server]);
   assert.equal(endedOf(waiting).length, waiting.length);
 });
 
-test('flows that open at a new life before its entry is known go on', async () => {
-  const world = await createWorld();
-  await openFlows(world, 60, 300);
-  world.store.outages.set('', OutageKind.REFUSED);
-  const reborn = world
+test('flows that reach a restarted server before its entry is known continue', async () => {
+  const platform = await createPlatform();
+  await openFlows(platform, 60, 300);
+  platform.store.outages.set('', OutageKind.REFUSED);
+  const restarted = platform
     .liveServers('pay')
     .slice(0, 5)
-    .map(server => world.restartServer(server));
-  await world.clock.advance(500);
-  const later = await openFlows(world, 60, 1_500);
-  world.store.outages.clear();
-  const atReborn = flowsAt(later, reborn);
-  await world.clock.advance(12_000);
-  assert.ok(linesOf(world, 'server-restarted').length >= 5);
-  assert.ok(atReborn.length >= 15, `${atReborn.length} flows`);
-  assert.deepEqual(endedOf(atReborn), []);
-  assert.ok(atReborn.every(({answers}) => answers >= 5));
-  assert.deepEqual(world.broken, []);
+    .map(server => platform.restartServer(server));
+  await platform.clock.advance(500);
+  const later = await openFlows(platform, 60, 1_500);
+  platform.store.outages.clear();
+  const flowsAtRestarted = flowsAt(later, restarted);
+  await platform.clock.advance(12_000);
+  assert.ok(linesOf(platform, 'server-restarted').length >= 5);
+  assert.ok(flowsAtRestarted.length >= 15, `${flowsAtRestarted.length} flows`);
+  assert.deepEqual(endedOf(flowsAtRestarted), []);
+  assert.ok(flowsAtRestarted.every(({answers}) => answers >= 5));
+  assert.deepEqual(platform.broken, []);
 });
 
-test('what was believed of a former life is forgotten: its new one gets flows at once', async () => {
-  const world = await createWorld();
-  await openFlows(world, 60, 200);
-  const [server] = world.liveServers('pay');
-  world.crashServer(server, true, LONG_CALL_MS);
-  await world.clock.advance(2_500);
-  assert.ok(linesOf(world, 'server-unreachable').length > 0);
-  const reborn = world.restartServer(server);
-  await world.clock.advance(500);
-  const later = await openFlows(world, 200, 200);
-  const share = flowsAt(later, [reborn]).length;
+test('a restarted server gets new flows at once, whatever was known before the restart', async () => {
+  const platform = await createPlatform();
+  await openFlows(platform, 60, 200);
+  const [server] = platform.liveServers('pay');
+  platform.crashServer(server, true, LONG_CALL_MS);
+  await platform.clock.advance(2_500);
+  assert.ok(linesOf(platform, 'server-unreachable').length > 0);
+  const restarted = platform.restartServer(server);
+  await platform.clock.advance(500);
+  const later = await openFlows(platform, 200, 200);
+  const share = flowsAt(later, [restarted]).length;
   assert.ok(share >= 10, `${share} of 200 flows`);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(platform.broken, []);
 });
 
-/** Callers whose requests may not be repeated, at 84 servers with a long pause. */
-async function playSilence(features: SimulationPlan['features']) {
+/** Crashes a quarter of 84 servers while most flows of non-repeatable requests are idle. */
+async function crashQuarter(features: SimulationPlan['features']) {
   const services = [{name: 'pay', servers: 84, slots: 2, workMs: 20}];
-  const world = await createWorld({services, features});
-  const callers = await openFlows(world, 1_000, 4_000);
-  const silent = world.liveServers('pay').slice(0, 21);
-  silent.forEach(server => world.crashServer(server, true, 2_300));
-  await world.clock.advance(6_000);
+  const platform = await createPlatform({services, features});
+  const callers = await openFlows(platform, 1_000, 4_000);
+  const silent = platform.liveServers('pay').slice(0, 21);
+  silent.forEach(server => platform.crashServer(server, true, 2_300));
+  await platform.clock.advance(6_000);
   const affected = flowsAt(callers, silent);
   const lost = affected.filter(({isWaiting}) => isWaiting);
   const saved = affected.filter(
     ({ending, isWaiting}) => ending === 'cut' && !isWaiting,
   );
-  return {world, affected, lost, saved};
+  return {platform, affected, lost, saved};
 }
 
-test('a quarter of a service falls silent: most idle flows end before their next request is lost', async () => {
-  const without = await playSilence(undefined);
-  assert.equal(without.saved.length, 0);
-  assert.equal(without.lost.length, without.affected.length);
-  const {world, affected, lost, saved} = await playSilence(FEEDBACK);
+test('when a quarter of a service crashes, most idle flows are reset before their next request', async () => {
+  const disabled = await crashQuarter(undefined);
+  assert.equal(disabled.saved.length, 0);
+  assert.equal(disabled.lost.length, disabled.affected.length);
+  const {platform, affected, lost, saved} = await crashQuarter(FEEDBACK);
   assert.ok(affected.length >= 200, `${affected.length} flows`);
   assert.ok(
     saved.length >= affected.length / 2,
     `${saved.length} of ${affected.length} saved, ${lost.length} lost`,
   );
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('idle flows of a server that has ended for certain end at once, those with a request do not', async () => {
-  const world = await createWorld();
-  const callers = await openFlows(world, 60, 10_000);
-  const [server] = world.liveServers('pay');
+test('idle flows of a server that has certainly ended are reset at once, busy flows are not', async () => {
+  const platform = await createPlatform();
+  const callers = await openFlows(platform, 60, 10_000);
+  const [server] = platform.liveServers('pay');
   const idle = flowsAt(callers, [server]);
-  world.crashServer(server, true, LONG_CALL_MS);
-  await world.clock.advance(500);
+  platform.crashServer(server, true, LONG_CALL_MS);
+  await platform.clock.advance(500);
   const [{entry}] = [server];
-  world.startServer('pay', entry.address);
-  await world.clock.advance(1_000);
+  platform.startServer('pay', entry.address);
+  await platform.clock.advance(1_000);
   assert.ok(idle.length >= 4, `${idle.length} flows`);
   assert.ok(
     idle.every(({ending, isWaiting}) => ending === 'cut' && !isWaiting),
   );
-  assert.deepEqual(world.broken, []);
-  const busy = await createBusyWorld();
+  assert.deepEqual(platform.broken, []);
+  const busy = await createBusyPlatform();
   const waiting = await openFlows(busy, 60);
   const [ended] = busy.liveServers('pay');
   busy.crashServer(ended, true, LONG_CALL_MS);
@@ -237,91 +240,94 @@
   assert.deepEqual(endedOf(waiting), []);
 });
 
-test('idle flows of servers that live are never reset while others fall silent', async () => {
-  const world = await createWorld();
-  const callers = await openFlows(world, 200, 700);
-  const servers = world.liveServers('pay');
+test('idle flows of running servers are never reset while other servers are unreachable', async () => {
+  const platform = await createPlatform();
+  const callers = await openFlows(platform, 200, 700);
+  const servers = platform.liveServers('pay');
   const paused = servers.slice(0, 3);
-  const cut = [...world.daemons.keys()].slice(0, 4);
-  paused.forEach(server => world.pauseServer(server, 3_000));
-  cut.forEach(name => world.cutFromServers.add(name));
-  await world.clock.advance(12_000);
+  const cut = [...platform.daemons.keys()].slice(0, 4);
+  paused.forEach(server => platform.pauseServer(server, 3_000));
+  cut.forEach(name => platform.cutFromServers.add(name));
+  await platform.clock.advance(12_000);
   const untouched = flowsAt(callers, servers.slice(3));
   assert.ok(untouched.length >= 100);
   assert.ok(untouched.every(({ending}) => ending !== 'cut'));
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('a server whose entry another writer spoils keeps its flows for as long as it takes', async () => {
-  const world = await createWorld();
-  const callers = await openFlows(world, 60, 200);
-  const [server] = world.liveServers('pay');
+test('a server whose entry was overwritten with invalid data keeps its flows', async () => {
+  const platform = await createPlatform();
+  const callers = await openFlows(platform, 60, 200);
+  const [server] = platform.liveServers('pay');
   const kept = flowsAt(callers, [server]);
-  const callsBefore = world.store.calls;
-  world.spoilEntry(server);
-  await world.clock.advance(5_000);
-  const calls = world.store.calls - callsBefore;
-  assert.ok(calls <= 12, `two daemons wait 1.5 s a call: ${calls} calls`);
-  // Daemons that read everything anew must not miss it either.
-  world.store.forgetHistory();
-  const later = await openFlows(world, 60, 200);
-  await world.clock.advance(25_000);
+  const callsBefore = platform.store.calls;
+  platform.spoilEntry(server);
+  await platform.clock.advance(5_000);
+  const calls = platform.store.calls - callsBefore;
+  assert.ok(
+    calls <= 12,
+    `two daemons long-poll with 1.5 s each: ${calls} calls`,
+  );
+  // Discarded events force full reads, which must keep it too.
+  platform.store.forgetHistory();
+  const later = await openFlows(platform, 60, 200);
+  await platform.clock.advance(25_000);
   assert.ok(kept.length >= 4);
   assert.deepEqual(endedOf(kept), []);
   assert.deepEqual(flowsAt(later, [server]), []);
-  const told = linesOf(world, 'server-entry-unreadable');
-  assert.equal(told.length, world.daemons.size, 'one line a daemon');
-  world.mendEntry(server);
-  await world.clock.advance(1_000);
-  const last = await openFlows(world, 60, 200);
+  const logged = linesOf(platform, 'server-entry-unreadable');
+  assert.equal(logged.length, platform.daemons.size, 'one line per daemon');
+  platform.mendEntry(server);
+  await platform.clock.advance(1_000);
+  const last = await openFlows(platform, 60, 200);
   assert.ok(flowsAt(last, [server]).length >= 2);
   assert.deepEqual(endedOf(kept), []);
-  assert.equal(linesOf(world, 'server-restarted').length, 0);
-  assert.deepEqual(world.broken, []);
+  assert.equal(linesOf(platform, 'server-restarted').length, 0);
+  assert.deepEqual(platform.broken, []);
 });
 
 [10, 105].forEach(servers =>
-  test(`daemons that start while an entry is spoiled hear from others where its flows go, of ${servers} servers`, async () => {
+  test(`daemons that start while some of ${servers} entries are invalid learn those servers from peers`, async () => {
     const services = [{name: 'pay', servers, slots: 2, workMs: 20}];
-    const world = await createWorld({services});
-    const callers = await openFlows(world, 4 * servers, 500);
-    const spoiled = world.liveServers('pay').slice(0, 4);
+    const platform = await createPlatform({services});
+    const callers = await openFlows(platform, 4 * servers, 500);
+    const spoiled = platform.liveServers('pay').slice(0, 4);
     const kept = flowsAt(callers, spoiled);
-    spoiled.forEach(server => world.spoilEntry(server));
-    await world.clock.advance(2_000);
-    const started = [...world.daemons.keys()].slice(0, 25);
-    started.forEach(name => world.killDaemon(name));
-    await Promise.all(started.map(name => world.startDaemon(name)));
-    await world.clock.advance(4_000);
+    spoiled.forEach(server => platform.spoilEntry(server));
+    await platform.clock.advance(2_000);
+    const started = [...platform.daemons.keys()].slice(0, 25);
+    started.forEach(name => platform.killDaemon(name));
+    await Promise.all(started.map(name => platform.startDaemon(name)));
+    await platform.clock.advance(4_000);
     const before = kept.map(({answers}) => answers);
-    await world.clock.advance(3_000);
+    await platform.clock.advance(3_000);
     assert.ok(kept.length >= 8, `${kept.length} flows`);
     kept.forEach(({answers}, index) =>
       assert.ok(answers >= before[index] + 4, `${answers - before[index]}`),
     );
     assert.deepEqual(endedOf(callers), []);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(platform.broken, []);
   }),
 );
 
-test('when all daemons start while an entry is spoiled its flows wait, and none is reset', async () => {
-  const world = await createWorld();
-  const callers = await openFlows(world, 60, 200);
-  const [server] = world.liveServers('pay');
+test('when all daemons restart while an entry is invalid, its flows wait and none is reset', async () => {
+  const platform = await createPlatform();
+  const callers = await openFlows(platform, 60, 200);
+  const [server] = platform.liveServers('pay');
   const kept = flowsAt(callers, [server]);
-  world.spoilEntry(server);
-  await world.clock.advance(2_000);
-  const names = [...world.daemons.keys()];
-  names.forEach(name => world.killDaemon(name));
-  await Promise.all(names.map(name => world.startDaemon(name)));
-  await world.clock.advance(25_000);
+  platform.spoilEntry(server);
+  await platform.clock.advance(2_000);
+  const names = [...platform.daemons.keys()];
+  names.forEach(name => platform.killDaemon(name));
+  await Promise.all(names.map(name => platform.startDaemon(name)));
+  await platform.clock.advance(25_000);
   assert.deepEqual(endedOf(kept), []);
-  world.mendEntry(server);
-  await world.clock.advance(4_000);
+  platform.mendEntry(server);
+  await platform.clock.advance(4_000);
   const before = kept.map(({answers}) => answers);
-  await world.clock.advance(2_000);
+  await platform.clock.advance(2_000);
   kept.forEach(({answers}, index) => assert.ok(answers > before[index]));
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(platform.broken, []);
 });
 
 const DOCS = createRoute('docs', {
@@ -330,7 +336,7 @@
   repeatable: true,
 });
 
-/** Each daemon that is cut off has links to servers, or to peers, that are whole. */
+/** Partitions of a daemon from its peers or from the servers, not from both. */
 const CUTS = ['cut-peers', 'cut-servers'];
 
 const FAULTS = fc
@@ -357,14 +363,14 @@
     {minLength: 2, maxLength: 8},
   )
   .map(faults => {
-    // Two daemons that are cut off at once find servers unreachable that live.
+    // Two partitioned daemons together may find running servers unreachable.
     const firstCut = faults.find(({kind}) => CUTS.includes(kind));
     return faults.filter(
       fault => !CUTS.includes(fault.kind) || fault === firstCut,
     );
   });
 
-test('under any mix of restarts, spoiled entries and faults no flow of a living server is reset', async () => {
+test('no flow of a running server is reset under any mix of restarts, invalid entries and faults', async () => {
   const hasher = await XxhashHasher.create();
   await fc.assert(
     fc.asyncProperty(
@@ -372,7 +378,7 @@
       fc.boolean(),
       FAULTS,
       async (seed, isOn, faults) => {
-        const world = await SimulatedPlatform.create(
+        const platform = await SimulatedPlatform.create(
           {
             seed,
             daemons: 5,
@@ -389,16 +395,16 @@
           hasher,
         );
         const call = (index: number) =>
-          world.call(index % 2 === 0 ? PAY : DOCS, 50, 15_000, 300);
+          platform.call(index % 2 === 0 ? PAY : DOCS, 50, 15_000, 300);
         Array.from({length: 30}, (_call, index) => call(index));
         for (const fault of faults) {
-          await world.clock.advance(fault.afterMs);
-          injectFault(world, fault, [PAY, DOCS]);
+          await platform.clock.advance(fault.afterMs);
+          injectFault(platform, fault, [PAY, DOCS]);
           Array.from({length: 6}, (_call, index) => call(index));
         }
-        await world.clock.advance(10_000);
-        // Bounds in time hold while the store answers, as judged elsewhere.
-        const flows = world.broken.filter(({promise}) =>
+        await platform.clock.advance(10_000);
+        // Other guarantees hold only while the store responds.
+        const flows = platform.broken.filter(({promise}) =>
           ['reset', 'flow', 'route'].includes(promise),
         );
         assert.deepEqual(flows, []);
--- a/src/entry/flow-terminator.ts
+++ b/src/entry/flow-terminator.ts
@@ -1,10 +1,10 @@
 /**
  * Ends flows whose requests can no longer be answered, so that callers reconnect before
- * their own timeouts. Used by the daemon while the health feature is on.
+ * their own timeouts.
  *
  * After a server restart, resends the newest packet of each of its flows: the server
  * resets those that it does not know. Flows of servers that have ended or cannot be
- * reached are reset here while they have no request in flight.
+ * reached are reset here if they have no request in flight or it may be repeated.
  */
 import type {Catalog, CatalogChange} from '../catalog/catalog.js';
 import type {CatalogServer} from '../catalog/records.js';
@@ -32,7 +32,10 @@
 
 /** Dependencies of a `FlowTerminator`. */
 export interface FlowTerminatorOptions {
-  /** Whether flows are ended early; if false, no packets are retained or sent. */
+  /**
+   * Whether to end idle flows and flows of ended servers. If false, only callers waiting
+   * for an unreachable server are reset.
+   */
   readonly isEnabled: boolean;
   readonly catalog: Catalog;
   readonly router: CookieRouter;
--- a/src/entry/large-fleet.spec.ts
+++ b/src/entry/large-fleet.spec.ts
@@ -1,7 +1,4 @@
-/**
- * Fleets of 30 to 300 daemons in memory: what each believes of its peers, and how
- * often the fleet asks the store.
- */
+/** Fleets of 30 to 300 simulated daemons: membership views and the load on the store. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
@@ -14,7 +11,7 @@
 const BOUNDS = {drainMs: 3_000, configurationMs: 3_000, evacuationMs: 3_000};
 const CALM_MS = 20_000;
 
-/** A fleet that has started and serves nobody. */
+/** Creates a started fleet without callers. */
 async function createFleet(daemons: number): Promise<SimulatedPlatform> {
   return SimulatedPlatform.create(
     {
@@ -29,10 +26,10 @@
   );
 }
 
-/** Daemons that wait at the store, by their own last word on it. */
-function readersOf(world: SimulatedPlatform): string[] {
+/** Daemons that read the store, according to their last log line about it. */
+function readersOf(platform: SimulatedPlatform): string[] {
   const waits = new Map<string, boolean>();
-  world.lines
+  platform.lines
     .filter(({event}) => event === 'reader-changed')
     .forEach(({process, fields}) =>
       waits.set(process, fields['waits'] === true),
@@ -41,157 +38,161 @@
 }
 
 [30, 88, 195, 300].forEach(daemons =>
-  test(`of ${daemons} daemons that all live none is told as lost, and two read the store`, async () => {
-    const world = await createFleet(daemons);
-    const callsBefore = world.store.calls;
-    await world.clock.advance(CALM_MS);
-    const lost = world.lines.filter(({event}) => event === 'peer-lost');
+  test(`none of ${daemons} running daemons is logged as lost, and two read the store`, async () => {
+    const platform = await createFleet(daemons);
+    const callsBefore = platform.store.calls;
+    await platform.clock.advance(CALM_MS);
+    const lost = platform.lines.filter(({event}) => event === 'peer-lost');
     assert.equal(lost.length, 0);
-    assert.equal(readersOf(world).length, 2);
-    // Two daemons, each a call in 1.7 s, whatever the fleet.
-    assert.ok(world.store.calls - callsBefore <= 26, `${world.store.calls}`);
+    assert.equal(readersOf(platform).length, 2);
+    // Two readers call every 1.7 s, regardless of the fleet's size.
+    assert.ok(
+      platform.store.calls - callsBefore <= 26,
+      `${platform.store.calls}`,
+    );
   }),
 );
 
 [30, 195].forEach(daemons =>
-  test(`of ${daemons} daemons few take over when both readers end, and in time`, async () => {
-    const world = await createFleet(daemons);
-    await world.clock.advance(1_000);
-    readersOf(world).forEach(name => world.killDaemon(name));
-    world.publish([ROUTE]);
-    const callsBefore = world.store.calls;
-    await world.clock.advance(BOUNDS.configurationMs);
-    assert.deepEqual([...versionsOf(world)], [2]);
+  test(`few of ${daemons} daemons take over when both readers end, within the bound`, async () => {
+    const platform = await createFleet(daemons);
+    await platform.clock.advance(1_000);
+    readersOf(platform).forEach(name => platform.killDaemon(name));
+    platform.publish([ROUTE]);
+    const callsBefore = platform.store.calls;
+    await platform.clock.advance(BOUNDS.configurationMs);
+    assert.deepEqual([...versionsOf(platform)], [2]);
     assert.ok(
-      world.store.calls - callsBefore <= 8,
-      `${world.store.calls - callsBefore} calls`,
+      platform.store.calls - callsBefore <= 8,
+      `${platform.store.calls - callsBefore} calls`,
     );
   }),
 );
 
 [OutageKind.REFUSED, OutageKind.SILENT, OutageKind.BUSY].forEach(kind =>
-  test(`a store that is away (${kind}) is asked by few of 195 daemons, and its return is seen within 2 s`, async () => {
-    const world = await createFleet(195);
-    world.store.outages.set('', kind);
-    const callsBefore = world.store.calls;
-    await world.clock.advance(10_000);
-    const calls = world.store.calls - callsBefore;
+  test(`few of 195 daemons call a store that is down (${kind}), and its return is seen within 2 s`, async () => {
+    const platform = await createFleet(195);
+    platform.store.outages.set('', kind);
+    const callsBefore = platform.store.calls;
+    await platform.clock.advance(10_000);
+    const calls = platform.store.calls - callsBefore;
     assert.ok(calls <= 60, `${calls} calls in 10 s`);
-    world.store.outages.clear();
-    world.publish([ROUTE]);
-    await world.clock.advance(2_000);
-    assert.deepEqual([...versionsOf(world)], [2]);
+    platform.store.outages.clear();
+    platform.publish([ROUTE]);
+    await platform.clock.advance(2_000);
+    assert.deepEqual([...versionsOf(platform)], [2]);
   }),
 );
 
-test('a store that turns a third of 195 daemons away is read by others, in time', async () => {
-  const world = await createFleet(195);
-  const names = [...world.daemons.keys()];
-  const readers = new Set(readersOf(world));
+test('others of 195 daemons read a store that does not respond to a third of them', async () => {
+  const platform = await createFleet(195);
+  const names = [...platform.daemons.keys()];
+  const readers = new Set(readersOf(platform));
   names
     .filter((name, index) => index % 3 === 0 || readers.has(name))
-    .forEach(name => world.store.outages.set(name, OutageKind.SILENT));
-  const callsBefore = world.store.calls;
+    .forEach(name => platform.store.outages.set(name, OutageKind.SILENT));
+  const callsBefore = platform.store.calls;
   for (let round = 0; round < 4; round += 1) {
-    world.publish([ROUTE]);
-    await world.clock.advance(BOUNDS.configurationMs);
-    assert.deepEqual([...versionsOf(world)], [2 + round]);
+    platform.publish([ROUTE]);
+    await platform.clock.advance(BOUNDS.configurationMs);
+    assert.deepEqual([...versionsOf(platform)], [2 + round]);
   }
-  const calls = world.store.calls - callsBefore;
+  const calls = platform.store.calls - callsBefore;
   assert.ok(calls <= 60, `${calls} calls in 12 s`);
 });
 
-test('195 daemons that all start for the first time, and all start again, ask the store a few times', async () => {
-  const world = await createFleet(195);
-  assert.ok(world.store.calls <= 20, `${world.store.calls} at first`);
-  const names = [...world.daemons.keys()];
-  names.forEach(name => world.killDaemon(name));
-  await world.clock.advance(1_000);
-  const callsBefore = world.store.calls;
-  await Promise.all(names.map(name => world.startDaemon(name)));
-  await world.clock.advance(3_000);
-  const calls = world.store.calls - callsBefore;
-  assert.ok(calls <= 10, `${calls} at the second start`);
+test('195 daemons that all start, and all restart, make few calls to the store', async () => {
+  const platform = await createFleet(195);
+  assert.ok(platform.store.calls <= 20, `${platform.store.calls} at first`);
+  const names = [...platform.daemons.keys()];
+  names.forEach(name => platform.killDaemon(name));
+  await platform.clock.advance(1_000);
+  const callsBefore = platform.store.calls;
+  await Promise.all(names.map(name => platform.startDaemon(name)));
+  await platform.clock.advance(3_000);
+  const calls = platform.store.calls - callsBefore;
+  assert.ok(calls <= 10, `${calls} at the restart`);
 });
 
-test('daemons that hear of nobody read by themselves, once in three quarters of the limit', async () => {
-  const world = await createFleet(30);
-  const names = [...world.daemons.keys()];
+test('daemons partitioned from all peers read the store, once in three quarters of the time limit', async () => {
+  const platform = await createFleet(30);
+  const names = [...platform.daemons.keys()];
   const cut = names.slice(0, 10);
-  cut.forEach(name => world.cutFromPeers(name, true));
-  await world.clock.advance(4_000);
-  const callsBefore = world.store.calls;
-  world.publish([ROUTE]);
-  await world.clock.advance(BOUNDS.configurationMs);
-  assert.deepEqual([...versionsOf(world)], [2]);
-  await world.clock.advance(9_000 - BOUNDS.configurationMs);
-  const calls = world.store.calls - callsBefore;
+  cut.forEach(name => platform.cutFromPeers(name, true));
+  await platform.clock.advance(4_000);
+  const callsBefore = platform.store.calls;
+  platform.publish([ROUTE]);
+  await platform.clock.advance(BOUNDS.configurationMs);
+  assert.deepEqual([...versionsOf(platform)], [2]);
+  await platform.clock.advance(9_000 - BOUNDS.configurationMs);
+  const calls = platform.store.calls - callsBefore;
   assert.ok(calls <= 10 * 5 + 12, `${calls} calls in 9 s`);
 });
 
-/** What daemons told of peers since a line, as "who told: of whom". */
-function lostSince(world: SimulatedPlatform, firstLine: number): string[] {
-  return world.lines
+/** Peers logged as lost since a line, as "daemon: peer". */
+function lostSince(platform: SimulatedPlatform, firstLine: number): string[] {
+  return platform.lines
     .slice(firstLine)
     .filter(({event}) => event === 'peer-lost')
     .map(({process, fields}) => `${process}: ${fields['peer']}`);
 }
 
-function addressOf(world: SimulatedPlatform, name: string): string {
-  return formatIpv4(world.daemonOf(name).settings.address);
+function addressOf(platform: SimulatedPlatform, name: string): string {
+  return formatIpv4(platform.daemonOf(name).settings.address);
 }
 
-/** Versions that the running daemons hold. */
-function versionsOf(world: SimulatedPlatform): Set<number> {
+/** Route versions that the running daemons hold. */
+function versionsOf(platform: SimulatedPlatform): Set<number> {
   return new Set(
-    [...world.daemons.values()].flatMap(({running}) =>
+    [...platform.daemons.values()].flatMap(({running}) =>
       running === undefined ? [] : [running.catalog.stamp.routeVersion],
     ),
   );
 }
 
-test('daemons that end are told as lost within 6 s, and once by a daemon or not at all', async () => {
-  const world = await createFleet(195);
+test('killed daemons are logged as lost within 6 s, at most once by each daemon', async () => {
+  const platform = await createFleet(195);
   const ended = Array.from({length: 12}, (_daemon, index) => `d${index * 16}`);
-  const firstLine = world.lines.length;
-  ended.forEach(name => world.killDaemon(name));
-  await world.clock.advance(6_000);
-  const told = lostSince(world, firstLine);
-  assert.equal(new Set(told).size, told.length, 'told twice');
-  const addresses = new Set(told.map(line => line.split(': ')[1]));
-  const expected = ended.map(name => addressOf(world, name));
+  const firstLine = platform.lines.length;
+  ended.forEach(name => platform.killDaemon(name));
+  await platform.clock.advance(6_000);
+  const reports = lostSince(platform, firstLine);
+  assert.equal(new Set(reports).size, reports.length, 'logged twice');
+  const addresses = new Set(reports.map(line => line.split(': ')[1]));
+  const expected = ended.map(name => addressOf(platform, name));
   assert.deepEqual([...addresses].sort(), expected.sort());
 });
 
-test('a fleet that loses half of its daemons at once stays in one piece', async () => {
-  const world = await createFleet(195);
-  const names = [...world.daemons.keys()];
+test('the gossip of a fleet that loses half of its daemons at once stays connected', async () => {
+  const platform = await createFleet(195);
+  const names = [...platform.daemons.keys()];
   names
     .filter((_name, index) => index % 2 === 0)
-    .forEach(name => world.killDaemon(name));
-  await world.clock.advance(6_000);
-  world.publish([ROUTE]);
-  await world.clock.advance(BOUNDS.configurationMs);
-  assert.deepEqual([...versionsOf(world)], [2]);
+    .forEach(name => platform.killDaemon(name));
+  await platform.clock.advance(6_000);
+  platform.publish([ROUTE]);
+  await platform.clock.advance(BOUNDS.configurationMs);
+  assert.deepEqual([...versionsOf(platform)], [2]);
 });
 
-test('a failure domain that was cut off for long is in touch again after the cut', async () => {
-  const world = await createFleet(88);
-  const names = [...world.daemons.keys()];
-  const isCut = (name: string) => world.daemonOf(name).settings.failureDomain;
-  const inside = names.filter(name => isCut(name) === 'a');
-  const outside = names.filter(name => isCut(name) !== 'a');
-  const setCut = (cut: boolean) =>
+test('a failure domain rejoins the gossip after a long partition', async () => {
+  const platform = await createFleet(88);
+  const names = [...platform.daemons.keys()];
+  const domainOf = (name: string) =>
+    platform.daemonOf(name).settings.failureDomain;
+  const inside = names.filter(name => domainOf(name) === 'a');
+  const outside = names.filter(name => domainOf(name) !== 'a');
+  const setPartitioned = (isPartitioned: boolean) =>
     inside.forEach(name =>
-      outside.forEach(other => world.cutBetween(name, other, cut)),
+      outside.forEach(other => platform.cutBetween(name, other, isPartitioned)),
     );
-  setCut(true);
-  await world.clock.advance(20_000);
-  setCut(false);
-  // The domain itself does not reach the store, so it depends on its peers.
-  inside.forEach(name => world.store.outages.set(name, OutageKind.SILENT));
-  await world.clock.advance(10_000);
-  world.publish([ROUTE]);
-  await world.clock.advance(BOUNDS.configurationMs);
-  assert.deepEqual([...versionsOf(world)], [2]);
+  setPartitioned(true);
+  await platform.clock.advance(20_000);
+  setPartitioned(false);
+  // Without the store, the domain depends on its peers for the new version.
+  inside.forEach(name => platform.store.outages.set(name, OutageKind.SILENT));
+  await platform.clock.advance(10_000);
+  platform.publish([ROUTE]);
+  await platform.clock.advance(BOUNDS.configurationMs);
+  assert.deepEqual([...versionsOf(platform)], [2]);
 });
--- a/src/entry/planned-stop.spec.ts
+++ b/src/entry/planned-stop.spec.ts
@@ -8,8 +8,8 @@
 const SELF = 1;
 const STOP_LIMIT_MS = 6_000;
 
-/** A stop in a domain whose peers are told of by beats; it has seen a packet now. */
-function createStop() {
+/** A shutdown whose last packet came now, and a function that reports a peer. */
+function createShutdown() {
   const clock = FakeClock.create();
   const peers = PeerView.create({
     self: SELF,
@@ -17,14 +17,14 @@
     random: Random.create(1),
   });
   const seen = {lastPacketAt: clock.now()};
-  const stop = GracefulShutdown.create({
+  const shutdown = GracefulShutdown.create({
     clock,
     peers,
     failureDomain: 'a',
     stopLimitMs: STOP_LIMIT_MS,
     lastPacketAt: () => seen.lastPacketAt,
   });
-  const tell = (address: number, leaving: boolean) =>
+  const reportPeer = (address: number, leaving: boolean) =>
     peers.merge(
       {
         address,
@@ -35,35 +35,41 @@
       },
       clock.now(),
     );
-  return {clock, stop, seen, tell};
+  return {clock, shutdown, seen, reportPeer};
 }
 
-/** Notes when a promise resolves, on the virtual clock. */
+/** Records the virtual time at which a promise resolves. */
 function watchEnd(clock: FakeClock, promise: Promise<void>) {
   const end = {at: Infinity};
   void promise.then(() => (end.at = clock.now()));
   return end;
 }
 
-test('a daemon that has refused readiness forwards until no packet has come for a while', async () => {
-  const {clock, stop, seen} = createStop();
+test('a daemon that reports not ready forwards until the packets end', async () => {
+  const {clock, shutdown, seen} = createShutdown();
   const start = clock.now();
-  const end = watchEnd(clock, stop.awaitTrafficEnd());
-  // The fabric hands packets over until it has asked twice in vain.
+  const end = watchEnd(clock, shutdown.awaitTrafficEnd());
+  // The fabric sends packets until two readiness checks have failed.
   for (let round = 0; round < 15; round += 1) {
     await clock.advance(100);
     seen.lastPacketAt = clock.now();
     assert.equal(end.at, Infinity, `${clock.now() - start} ms`);
   }
   await clock.advance(1_000);
-  assert.ok(end.at - seen.lastPacketAt >= 300, 'quiet for a while');
-  assert.ok(end.at - seen.lastPacketAt <= 500, 'and not for long');
+  assert.ok(
+    end.at - seen.lastPacketAt >= 300,
+    'no earlier than 300 ms after the last packet',
+  );
+  assert.ok(
+    end.at - seen.lastPacketAt <= 500,
+    'no later than 500 ms after the last packet',
+  );
 });
 
-test('packets that never end do not keep a daemon beyond its limit', async () => {
-  const {clock, stop, seen} = createStop();
+test('a daemon ends within its time limit although packets keep coming', async () => {
+  const {clock, shutdown, seen} = createShutdown();
   const start = clock.now();
-  const end = watchEnd(clock, stop.awaitTrafficEnd());
+  const end = watchEnd(clock, shutdown.awaitTrafficEnd());
   while (clock.now() < start + STOP_LIMIT_MS) {
     await clock.advance(100);
     seen.lastPacketAt = clock.now();
@@ -71,16 +77,16 @@
   assert.ok(end.at < start + STOP_LIMIT_MS);
 });
 
-test('a daemon waits until half of its failure domain is ready without it', async () => {
-  const {clock, stop, tell} = createStop();
+test('a daemon waits until more than half of its peers in the failure domain are ready', async () => {
+  const {clock, shutdown, reportPeer} = createShutdown();
   const start = clock.now();
-  tell(2, true);
-  tell(3, true);
-  const end = watchEnd(clock, stop.awaitPeerCapacity());
+  reportPeer(2, true);
+  reportPeer(3, true);
+  const end = watchEnd(clock, shutdown.awaitPeerCapacity());
   await clock.advance(1_000);
-  assert.equal(end.at, Infinity, 'nobody else is ready');
-  tell(2, false);
-  tell(3, false);
+  assert.equal(end.at, Infinity, 'no other daemon is ready');
+  reportPeer(2, false);
+  reportPeer(3, false);
   await clock.advance(200);
   assert.ok(end.at <= start + 1_200);
 });
--- a/src/entry/rate-limited-queue.spec.ts
+++ b/src/entry/rate-limited-queue.spec.ts
@@ -3,8 +3,8 @@
 import {FakeClock} from '../../standins/fake-clock.js';
 import {RateLimitedQueue} from './rate-limited-queue.js';
 
-/** Plays a queue of packets of one length; bytes sent by each millisecond. */
-async function play(linkMbps: number, packets: number, bytes: number) {
+/** Queues packets of equal length; returns the milliseconds at which each was sent. */
+async function drainQueue(linkMbps: number, packets: number, bytes: number) {
   const clock = FakeClock.create();
   const queue = RateLimitedQueue.create(clock, linkMbps);
   const sentAt: number[] = [];
@@ -19,21 +19,21 @@
   return sentAt;
 }
 
-test('long packets take a tenth of a slow link, all of them in the end', async () => {
-  const sentAt = await play(7, 500, 1_270);
+test('long packets use a tenth of a slow link, and all are sent', async () => {
+  const sentAt = await drainQueue(7, 500, 1_270);
   assert.equal(sentAt.length, 500);
   const tookMs = sentAt[sentAt.length - 1];
   const share = (500 * 1_270 * 8) / (tookMs * 7_000);
   assert.ok(share < 0.105, `${share}`);
 });
 
-test('nobody gets more than some 800 short packets a second of one daemon', async () => {
-  const sentAt = await play(1_000, 3_000, 68);
+test('at most 800 short packets are sent per second', async () => {
+  const sentAt = await drainQueue(1_000, 3_000, 68);
   const inFirst = sentAt.filter(at => at < 1_000).length;
   assert.ok(inFirst > 600 && inFirst <= 800, `${inFirst}`);
 });
 
-test('a queue that is stopped sends nothing more', async () => {
+test('a stopped queue sends nothing', async () => {
   const clock = FakeClock.create();
   const queue = RateLimitedQueue.create(clock, 7);
   let sent = 0;
--- a/src/entry/settings-file.spec.ts
+++ b/src/entry/settings-file.spec.ts
@@ -7,7 +7,7 @@
 
 type Section = Readonly<Record<string, string | undefined>>;
 
-const GOOD: Readonly<Record<string, Section>> = {
+const VALID_SETTINGS: Readonly<Record<string, Section>> = {
   instance: {
     name: 'front-a-1',
     address: '10.1.0.10',
@@ -36,13 +36,16 @@
   'not-known': {key: 'value'},
 };
 
-/** Reads the good settings with some keys of a section changed or left out. */
+/** Reads valid settings with some keys of a section changed or left out. */
 function read(section = 'instance', change: Section = {}) {
-  const changed = {...GOOD, [section]: {...GOOD[section], ...change}};
+  const changed = {
+    ...VALID_SETTINGS,
+    [section]: {...VALID_SETTINGS[section], ...change},
+  };
   return readEntrySettings(FILE, stringify(changed));
 }
 
-test('settings are decoded, and keys that are not known are ignored', () => {
+test('settings are decoded, and unknown keys are ignored', () => {
   assert.deepEqual(read()._unsafeUnwrap(), {
     name: 'front-a-1',
     address: 0x0a01000a,
@@ -65,20 +68,20 @@
   });
 });
 
-test('seeds may be missing, and a later start is no first one', () => {
+test('seeds may be missing, and first-start may be false', () => {
   const change = {seeds: '', 'first-start': 'false'};
   const settings = read('fleet', change)._unsafeUnwrap();
   assert.deepEqual(settings.seeds, []);
   assert.equal(settings.isFirstStart, false);
 });
 
-test('what a deployment does not ask for is off', () => {
+test('features are off by default', () => {
   const none = {pressure: '', base: ''};
   const {features} = read('features', none)._unsafeUnwrap();
   assert.deepEqual(features, {feedback: false, pressure: false});
 });
 
-const WRONG: ReadonlyArray<[string, string, Section, RegExp]> = [
+const INVALID_SETTINGS: ReadonlyArray<[string, string, Section, RegExp]> = [
   [
     'no address',
     'instance',
@@ -92,7 +95,7 @@
     /^local\.ini: \[instance\] address: is "10\.1"; write an IPv4 address/,
   ],
   [
-    'no place to listen',
+    'no listen address',
     'listen',
     {packets: ''},
     /^local\.ini: \[listen\] packets: is missing; write an IPv4 address and/,
@@ -110,7 +113,7 @@
     /^local\.ini: \[fleet\] seeds: is "x"; write "ip:port" pairs/,
   ],
   [
-    'a flag that is none',
+    'an invalid flag',
     'fleet',
     {'first-start': 'perhaps'},
     /^local\.ini: \[fleet\] first-start: is "perhaps"; write true or false/,
@@ -135,13 +138,13 @@
   ],
 ];
 
-WRONG.forEach(([name, section, change, message]) =>
-  test(`settings with ${name} end in one line that names the key`, () => {
+INVALID_SETTINGS.forEach(([name, section, change, message]) =>
+  test(`settings with ${name} give a one-line error that names the key`, () => {
     assert.match(read(section, change)._unsafeUnwrapErr().message, message);
   }),
 );
 
-test('all faults of a file are told at once', () => {
+test('all faults of a file are reported at once', () => {
   const change = {address: '', 'processor-share': '-1'};
   const {faults} = read('instance', change)._unsafeUnwrapErr();
   assert.deepEqual(
--- a/src/entry/settings.ts
+++ b/src/entry/settings.ts
@@ -4,11 +4,11 @@
 /** Optional features; off by default. */
 export interface EntryFeatures {
   /**
-   * Infers the health of servers from callers' packets, since health reports may mislead,
-   * and weighs new flows by it. Flows that can't be answered are ended early.
+   * Resends packets to restarted servers and resets flows of ended servers and idle flows
+   * of unreachable ones, so that callers reconnect early.
    */
   readonly feedback: boolean;
-  /** Paces requests by urgency while capacity is short. */
+  /** Reserved for pacing requests by urgency while capacity is short; has no effect. */
   readonly pressure: boolean;
 }
 
--- a/src/entry/silent-servers.spec.ts
+++ b/src/entry/silent-servers.spec.ts
@@ -1,6 +1,6 @@
 /**
- * Servers that fall silent without a word, by the dozen or alone, while callers have
- * flows open there: whose flows are reset, how soon, and whose never.
+ * Open flows on servers that stop responding: which are reset, how soon, and which must
+ * never be.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -19,10 +19,10 @@
 });
 const SERVERS = 40;
 const LONG_CALL_MS = 30_000;
-/** Requests of a flow that lasts for all of a test. */
+/** Keeps a flow open for a whole test. */
 const MANY_REQUESTS = 5_000;
 
-async function createWorld(
+async function createPlatform(
   daemons: number,
   failureDomains = ['a', 'b', 'c', 'd', 'e'],
   workMs = 100,
@@ -43,16 +43,16 @@
   );
 }
 
-/** Opens flows that send one request after the other. */
+/** Opens flows whose callers send requests back to back. */
 async function openFlows(
-  world: SimulatedPlatform,
+  platform: SimulatedPlatform,
   route: typeof PAY,
   count: number,
 ): Promise<CookieCaller[]> {
   const callers = Array.from({length: count}, () =>
-    world.call(route, MANY_REQUESTS, LONG_CALL_MS),
+    platform.call(route, MANY_REQUESTS, LONG_CALL_MS),
   );
-  await world.clock.advance(1_000);
+  await platform.clock.advance(1_000);
   return callers;
 }
 
@@ -65,104 +65,110 @@
 }
 
 [3, 30, 195].forEach(daemons =>
-  test(`a quarter of a service falls silent: flows there are reset within 1.2 s, by ${daemons} daemons`, async () => {
-    const world = await createWorld(daemons);
-    const callers = await openFlows(world, FEED, 120);
-    const silent = world.liveServers('feed').slice(0, SERVERS / 4);
-    silent.forEach(server => world.crashServer(server, true, 2_300));
-    await world.clock.advance(1_200);
+  test(`flows are reset within 1.2 s when a quarter of a service crashes, with ${daemons} daemons`, async () => {
+    const platform = await createPlatform(daemons);
+    const callers = await openFlows(platform, FEED, 120);
+    const silent = platform.liveServers('feed').slice(0, SERVERS / 4);
+    silent.forEach(server => platform.crashServer(server, true, 2_300));
+    await platform.clock.advance(1_200);
     const affected = flowsAt(callers, silent);
     assert.ok(affected.length >= 15, `${affected.length} flows`);
-    assert.equal(world.tally.ends.cut, affected.length);
-    await world.clock.advance(5_000);
-    assert.equal(world.tally.ends.cut, affected.length);
-    assert.deepEqual(world.broken, []);
+    assert.equal(platform.tally.ends.cut, affected.length);
+    await platform.clock.advance(5_000);
+    assert.equal(platform.tally.ends.cut, affected.length);
+    assert.deepEqual(platform.broken, []);
   }),
 );
 
-test('flows whose requests may not be repeated are left to a silent server', async () => {
-  const world = await createWorld(30);
-  const callers = await openFlows(world, PAY, 60);
-  const silent = world.liveServers('pay').slice(0, 3);
-  silent.forEach(server => world.pauseServer(server, 3_000));
-  await world.clock.advance(10_000);
+test('flows of non-repeatable requests stay on an unresponsive server', async () => {
+  const platform = await createPlatform(30);
+  const callers = await openFlows(platform, PAY, 60);
+  const silent = platform.liveServers('pay').slice(0, 3);
+  silent.forEach(server => platform.pauseServer(server, 3_000));
+  await platform.clock.advance(10_000);
   assert.ok(flowsAt(callers, silent).length >= 10);
-  assert.equal(world.tally.ends.cut, 0);
-  assert.deepEqual(world.broken, []);
+  assert.equal(platform.tally.ends.cut, 0);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('a server that is silent for a quarter of a second keeps its flows', async () => {
-  const world = await createWorld(30);
-  await openFlows(world, FEED, 120);
-  world
+test('a server that is unresponsive for 250 ms keeps its flows', async () => {
+  const platform = await createPlatform(30);
+  await openFlows(platform, FEED, 120);
+  platform
     .liveServers('feed')
     .slice(0, 10)
-    .forEach(server => world.pauseServer(server, 250));
-  await world.clock.advance(5_000);
-  assert.equal(world.tally.ends.cut, 0);
+    .forEach(server => platform.pauseServer(server, 250));
+  await platform.clock.advance(5_000);
+  assert.equal(platform.tally.ends.cut, 0);
 });
 
-test('a server that comes back after 3 s gets new flows within 1.5 s', async () => {
-  const world = await createWorld(30);
-  await openFlows(world, FEED, 120);
-  const silent = world.liveServers('feed').slice(0, 10);
-  silent.forEach(server => world.pauseServer(server, 3_000));
-  await world.clock.advance(4_500);
-  const later = await openFlows(world, FEED, 200);
+test('a server that responds again after 3 s gets new flows within 1.5 s', async () => {
+  const platform = await createPlatform(30);
+  await openFlows(platform, FEED, 120);
+  const silent = platform.liveServers('feed').slice(0, 10);
+  silent.forEach(server => platform.pauseServer(server, 3_000));
+  await platform.clock.advance(4_500);
+  const later = await openFlows(platform, FEED, 200);
   assert.ok(flowsAt(later, silent).length >= 20);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('servers that take 2 s for a request are reached, and keep their flows', async () => {
-  const world = await createWorld(30, ['a', 'b'], 2_000);
-  await openFlows(world, FEED, 100);
-  await world.clock.advance(10_000);
-  assert.equal(world.tally.ends.cut, 0);
-  assert.deepEqual(world.broken, []);
+test('servers that take 2 s per request count as reachable and keep their flows', async () => {
+  const platform = await createPlatform(30, ['a', 'b'], 2_000);
+  await openFlows(platform, FEED, 100);
+  await platform.clock.advance(10_000);
+  assert.equal(platform.tally.ends.cut, 0);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('a failure domain whose packets do not reach servers has nobody reset flows', async () => {
-  const world = await createWorld(30);
-  await openFlows(world, FEED, 120);
-  [...world.daemons.values()]
+test('no flow is reset when one failure domain of daemons cannot reach the servers', async () => {
+  const platform = await createPlatform(30);
+  await openFlows(platform, FEED, 120);
+  [...platform.daemons.values()]
     .filter(({settings}) => settings.failureDomain === 'a')
-    .forEach(({name}) => world.cutFromServers.add(name));
-  await world.clock.advance(5_000);
-  assert.equal(world.tally.ends.cut, 0);
-  assert.deepEqual(world.broken, []);
+    .forEach(({name}) => platform.cutFromServers.add(name));
+  await platform.clock.advance(5_000);
+  assert.equal(platform.tally.ends.cut, 0);
+  assert.deepEqual(platform.broken, []);
 });
 
-test('a daemon without peers resets nothing', async () => {
-  const world = await createWorld(1);
-  await openFlows(world, FEED, 60);
-  world
+test('a daemon without peers resets no flow', async () => {
+  const platform = await createPlatform(1);
+  await openFlows(platform, FEED, 60);
+  platform
     .liveServers('feed')
     .slice(0, 10)
-    .forEach(server => world.pauseServer(server, 3_000));
-  await world.clock.advance(6_000);
-  assert.equal(world.tally.ends.cut, 0);
+    .forEach(server => platform.pauseServer(server, 3_000));
+  await platform.clock.advance(6_000);
+  assert.equal(platform.tally.ends.cut, 0);
 });
 
-test('silent servers are found out although a fifth of the datagrams between daemons is lost', async () => {
-  const world = await createWorld(60);
-  world.network.loss = 0.2;
-  const callers = await openFlows(world, FEED, 120);
-  const silent = world.liveServers('feed').slice(0, 10);
-  silent.forEach(server => world.crashServer(server, true, 2_300));
-  await world.clock.advance(3_000);
+test('unresponsive servers are detected although a fifth of the datagrams between daemons is lost', async () => {
+  const platform = await createPlatform(60);
+  platform.network.loss = 0.2;
+  const callers = await openFlows(platform, FEED, 120);
+  const silent = platform.liveServers('feed').slice(0, 10);
+  silent.forEach(server => platform.crashServer(server, true, 2_300));
+  await platform.clock.advance(3_000);
   const affected = flowsAt(callers, silent).length;
-  assert.ok(world.tally.ends.cut >= affected * 0.9, `${world.tally.ends.cut}`);
-  assert.deepEqual(world.broken, []);
+  assert.ok(
+    platform.tally.ends.cut >= affected * 0.9,
+    `${platform.tally.ends.cut}`,
+  );
+  assert.deepEqual(platform.broken, []);
 });
 
-test('when most of a service seems silent, most callers wait on: it may be the network', async () => {
-  const world = await createWorld(30);
-  const callers = await openFlows(world, FEED, 120);
-  const silent = world.liveServers('feed').slice(0, 36);
-  silent.forEach(server => world.pauseServer(server, 2_900));
-  await world.clock.advance(10_000);
+test('at least 30% of the flows are kept when most of a service is unresponsive, as in a network fault', async () => {
+  const platform = await createPlatform(30);
+  const callers = await openFlows(platform, FEED, 120);
+  const silent = platform.liveServers('feed').slice(0, 36);
+  silent.forEach(server => platform.pauseServer(server, 2_900));
+  await platform.clock.advance(10_000);
   const affected = flowsAt(callers, silent).length;
   assert.ok(affected >= 100, `${affected} flows`);
-  assert.ok(world.tally.ends.cut <= affected * 0.7, `${world.tally.ends.cut}`);
-  assert.deepEqual(world.broken, []);
+  assert.ok(
+    platform.tally.ends.cut <= affected * 0.7,
+    `${platform.tally.ends.cut}`,
+  );
+  assert.deepEqual(platform.broken, []);
 });
--- a/src/entry/start.spec.ts
+++ b/src/entry/start.spec.ts
@@ -1,4 +1,4 @@
-/** Starts from an old copy: what it may do, and how it is brought up to date. */
+/** Starts of daemons from a stale catalog, a snapshot or a peer, and their updates. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
@@ -15,15 +15,15 @@
   port: 443,
   repeatable: true,
 });
-/** How far the store's old reads lie back, in milliseconds. */
+/** How far the store's stale reads lag, in milliseconds. */
 const LAG_MS = 5_000;
 
-/** A fleet whose daemons all have been killed. */
+/** Creates a fleet and kills all daemons; stale reads predate the newest version. */
 async function createKilledFleet(
   daemons: number,
   linksMbps?: readonly number[],
 ): Promise<SimulatedPlatform> {
-  const world = await SimulatedPlatform.create(
+  const platform = await SimulatedPlatform.create(
     {
       seed: 1,
       daemons,
@@ -38,104 +38,104 @@
     },
     await XxhashHasher.create(),
   );
-  world.store.lagMs = LAG_MS;
-  world.publish([PAY, DOCS]);
-  [...world.daemons.keys()].forEach(name => world.killDaemon(name));
-  await world.clock.advance(500);
-  return world;
+  platform.store.lagMs = LAG_MS;
+  platform.publish([PAY, DOCS]);
+  [...platform.daemons.keys()].forEach(name => platform.killDaemon(name));
+  await platform.clock.advance(500);
+  return platform;
 }
 
-async function startAll(world: SimulatedPlatform): Promise<void> {
-  const names = [...world.daemons.keys()];
-  await Promise.all(names.map(name => world.startDaemon(name)));
+async function startAll(platform: SimulatedPlatform): Promise<void> {
+  const names = [...platform.daemons.keys()];
+  await Promise.all(names.map(name => platform.startDaemon(name)));
 }
 
-/** Starts one daemon and waits until it has a copy. */
-async function startOne(world: SimulatedPlatform): Promise<EntryDaemon> {
-  await world.startDaemon('d0');
-  await world.clock.advance(1_000);
-  const running = world.daemons.get('d0')?.running;
+/** Starts one daemon and waits until its catalog is complete. */
+async function startOne(platform: SimulatedPlatform): Promise<EntryDaemon> {
+  await platform.startDaemon('d0');
+  await platform.clock.advance(1_000);
+  const running = platform.daemons.get('d0')?.running;
   assert.ok(running !== undefined);
   return running;
 }
 
-function versionsOf(world: SimulatedPlatform): number[] {
-  return [...world.daemons.values()].map(
+function versionsOf(platform: SimulatedPlatform): number[] {
+  return [...platform.daemons.values()].map(
     ({running}) => running?.catalog.stamp.routeVersion ?? 0,
   );
 }
 
 [3, 60].forEach(daemons =>
-  test(`${daemons} daemons that all start from an old copy serve at once, and soon by the newest`, async () => {
-    const world = await createKilledFleet(daemons);
-    const callsBefore = world.store.calls;
-    await startAll(world);
-    await world.clock.advance(25);
-    assert.deepEqual(new Set(versionsOf(world)), new Set([1]));
-    await world.clock.advance(1_000);
-    assert.deepEqual(new Set(versionsOf(world)), new Set([2]));
+  test(`${daemons} daemons that all start from a stale catalog serve at once, and get the newest within a second`, async () => {
+    const platform = await createKilledFleet(daemons);
+    const callsBefore = platform.store.calls;
+    await startAll(platform);
+    await platform.clock.advance(25);
+    assert.deepEqual(new Set(versionsOf(platform)), new Set([1]));
+    await platform.clock.advance(1_000);
+    assert.deepEqual(new Set(versionsOf(platform)), new Set([2]));
     assert.ok(
-      world.store.calls - callsBefore <= 5,
-      `${world.store.calls - callsBefore} calls`,
+      platform.store.calls - callsBefore <= 5,
+      `${platform.store.calls - callsBefore} calls`,
     );
-    assert.equal(world.store.oldReads, daemons);
+    assert.equal(platform.store.oldReads, daemons);
   }),
 );
 
-test('a daemon with an old copy forwards by it, and refuses nothing aloud', async () => {
-  const world = await createKilledFleet(1);
-  await startAll(world);
-  await world.clock.advance(25);
-  const known = world.call(PAY, 1, 3_000);
-  world.call(DOCS, 1, 3_000);
-  await world.clock.advance(200);
+test('a daemon with a stale catalog forwards by it, and resets no flow', async () => {
+  const platform = await createKilledFleet(1);
+  await startAll(platform);
+  await platform.clock.advance(25);
+  const known = platform.call(PAY, 1, 3_000);
+  platform.call(DOCS, 1, 3_000);
+  await platform.clock.advance(200);
   assert.ok(known.server !== undefined);
-  assert.equal(world.tally.ends.refused, 0);
-  // Its later copies are taken once the daemon has read by itself.
-  await world.clock.advance(2_000);
-  assert.equal(world.tally.ends.answered, 2);
+  assert.equal(platform.tally.ends.refused, 0);
+  // A retransmitted opening is accepted once the daemon has read the store.
+  await platform.clock.advance(2_000);
+  assert.equal(platform.tally.ends.answered, 2);
 });
 
-test('an old copy whose later events are forgotten is replaced', async () => {
-  const world = await createKilledFleet(2);
-  world.store.forgetHistory();
-  await startAll(world);
-  await world.clock.advance(2_000);
-  assert.deepEqual(versionsOf(world), [2, 2]);
+test('a stale catalog whose later events the store discarded is replaced', async () => {
+  const platform = await createKilledFleet(2);
+  platform.store.forgetHistory();
+  await startAll(platform);
+  await platform.clock.advance(2_000);
+  assert.deepEqual(versionsOf(platform), [2, 2]);
 });
 
-test('a daemon that starts while the store is away gets its copy from a peer', async () => {
-  const world = await createKilledFleet(3);
-  await startAll(world);
-  await world.clock.advance(2_000);
-  world.store.outages.set('', OutageKind.SILENT);
-  world.killDaemon('d1');
-  await world.clock.advance(500);
-  await world.startDaemon('d1');
-  await world.clock.advance(200);
-  assert.deepEqual(versionsOf(world), [2, 2, 2]);
+test('a daemon that starts during a store outage gets the catalog from a peer', async () => {
+  const platform = await createKilledFleet(3);
+  await startAll(platform);
+  await platform.clock.advance(2_000);
+  platform.store.outages.set('', OutageKind.SILENT);
+  platform.killDaemon('d1');
+  await platform.clock.advance(500);
+  await platform.startDaemon('d1');
+  await platform.clock.advance(200);
+  assert.deepEqual(versionsOf(platform), [2, 2, 2]);
 });
 
-/** Megabits a second: one daemon in thirteen has an ample link. */
+/** One daemon in thirteen has a fast link. */
 const LINKS_MBPS = [...new Array<number>(12).fill(14), 140];
 
-/** Starts all daemons of a killed fleet; returns when the first ones had a copy. */
+/** Starts all daemons; returns the sorted times to a complete catalog, in milliseconds. */
 async function timeStarts(
-  world: SimulatedPlatform,
+  platform: SimulatedPlatform,
   slowAfterMs: number,
 ): Promise<number[]> {
-  const {clock} = world;
+  const {clock} = platform;
   const startedAt = new Map<string, number>();
-  world.daemons.forEach(({name, settings}) => {
-    // A daemon with a small share of a processor is there later.
+  platform.daemons.forEach(({name, settings}) => {
+    // Slow links go with small processor shares, so those daemons start later.
     const at = clock.now() + (settings.linkMbps < 100 ? slowAfterMs : 0);
     startedAt.set(name, at);
-    clock.callAt(at, () => void world.startDaemon(name));
+    clock.callAt(at, () => void platform.startDaemon(name));
   });
   const tookMs = new Map<string, number>();
-  while (tookMs.size < world.daemons.size && clock.now() < Infinity) {
+  while (tookMs.size < platform.daemons.size && clock.now() < Infinity) {
     await clock.advance(2);
-    world.daemons.forEach(({name, running}) => {
+    platform.daemons.forEach(({name, running}) => {
       if (running?.catalog.isComplete === true && !tookMs.has(name)) {
         tookMs.set(name, clock.now() - (startedAt.get(name) ?? 0));
       }
@@ -145,12 +145,12 @@
 }
 
 [0, 250].forEach(slowAfterMs =>
-  test(`copies of 1,400 routes reach 195 daemons that all start, slow ones ${slowAfterMs} ms later, as a tree`, async () => {
+  test(`195 daemons that all start, slow ones ${slowAfterMs} ms later, pass on a catalog of 1,400 routes as a tree`, async () => {
     const routes = Array.from({length: 1_400}, (_route, index) => ({
       ...PAY,
       address: PAY.address + index,
     }));
-    const world = await SimulatedPlatform.create(
+    const platform = await SimulatedPlatform.create(
       {
         seed: 3,
         daemons: 195,
@@ -163,13 +163,13 @@
       },
       await XxhashHasher.create(),
     );
-    [...world.daemons.keys()].forEach(name => world.killDaemon(name));
-    await world.clock.advance(1_000);
-    const {sentBytes} = world.network.links;
+    [...platform.daemons.keys()].forEach(name => platform.killDaemon(name));
+    await platform.clock.advance(1_000);
+    const {sentBytes} = platform.network.links;
     sentBytes.clear();
-    const tookMs = await timeStarts(world, slowAfterMs);
+    const tookMs = await timeStarts(platform, slowAfterMs);
     const p90 = tookMs[Math.floor(tookMs.length * 0.9)];
-    // By reads of the store alone it takes 450 ms, and 73 MB of the store's link.
+    // Without transfers between daemons the store's link would carry 73 MB.
     assert.ok(p90 <= 150, `90% after ${p90} ms`);
     assert.ok(tookMs[tookMs.length - 1] <= 300);
     assert.ok((sentBytes.get(STORE_LINK) ?? 0) <= 10e6);
@@ -178,18 +178,18 @@
         .filter(([link]) => link !== STORE_LINK)
         .map(([, bytes]) => bytes),
     );
-    assert.ok(busiest <= 1.5e6, `${busiest} bytes of one daemon`);
+    assert.ok(busiest <= 1.5e6, `${busiest} bytes sent by one daemon`);
   }),
 );
 
-test('a fleet of slow links alone takes a long version in time, and serves again after it lost all copies', async () => {
-  // 2,800 routes are 620 kB from the store, of which a link of 2 Mbit/s takes 2.5 s.
+test('a fleet with only slow links gets a large version in time, and recovers after all daemons end', async () => {
+  // 2,800 routes are 620 kB from the store: 2.5 s on a link of 2 Mbit/s.
   const routes = Array.from({length: 2_800}, (_route, index) => ({
     ...PAY,
     port: 1_000 + index,
   }));
   const bounds = {...BOUNDS, configurationMs: 5_000, evacuationMs: 5_000};
-  const world = await SimulatedPlatform.create(
+  const platform = await SimulatedPlatform.create(
     {
       seed: 4,
       daemons: 22,
@@ -202,22 +202,22 @@
     },
     await XxhashHasher.create(),
   );
-  world.publish(routes);
-  await world.clock.advance(bounds.configurationMs);
-  assert.deepEqual([...new Set(versionsOf(world))], [2]);
-  [...world.daemons.keys()].forEach(name => world.killDaemon(name));
-  await world.clock.advance(500);
-  const tookMs = await timeStarts(world, 0);
+  platform.publish(routes);
+  await platform.clock.advance(bounds.configurationMs);
+  assert.deepEqual([...new Set(versionsOf(platform))], [2]);
+  [...platform.daemons.keys()].forEach(name => platform.killDaemon(name));
+  await platform.clock.advance(500);
+  const tookMs = await timeStarts(platform, 0);
   assert.ok(tookMs[tookMs.length - 1] <= 5_000, tookMs.join(' '));
 });
 
-test('85 daemons on slow links that all start together serve from the kept copy, at once', async () => {
-  // 250 routes and 105 servers are 90 kB here, of which a link of 7 Mbit/s takes 0.1 s.
+test('85 daemons on slow links that all start together serve from the snapshot at once', async () => {
+  // 250 routes and 105 servers are 90 kB: 0.1 s on a link of 7 Mbit/s.
   const routes = Array.from({length: 250}, (_route, index) => ({
     ...PAY,
     port: 1_000 + index,
   }));
-  const world = await SimulatedPlatform.create(
+  const platform = await SimulatedPlatform.create(
     {
       seed: 6,
       daemons: 85,
@@ -230,34 +230,34 @@
     },
     await XxhashHasher.create(),
   );
-  await world.clock.advance(3_000);
-  assert.ok(world.store.snapshot !== undefined);
-  [...world.daemons.keys()].forEach(name => world.killDaemon(name));
-  world.publish([...routes, DOCS]);
-  await world.clock.advance(1_000);
-  const tookMs = await timeStarts(world, 0);
+  await platform.clock.advance(3_000);
+  assert.ok(platform.store.snapshot !== undefined);
+  [...platform.daemons.keys()].forEach(name => platform.killDaemon(name));
+  platform.publish([...routes, DOCS]);
+  await platform.clock.advance(1_000);
+  const tookMs = await timeStarts(platform, 0);
   assert.ok(tookMs[tookMs.length - 1] <= 50, tookMs.join(' '));
-  // The copy is older than the last version, which one daemon reads for all.
-  await world.clock.advance(1_500);
-  assert.deepEqual([...new Set(versionsOf(world))], [2]);
+  // The snapshot predates the last version, which one daemon reads for all.
+  await platform.clock.advance(1_500);
+  assert.deepEqual([...new Set(versionsOf(platform))], [2]);
 });
 
-test('a kept copy that cannot be read costs a start nothing but the call', async () => {
-  const world = await createKilledFleet(3, [7]);
-  world.store.writeSnapshot(Uint8Array.of(1, 2, 3), 0);
-  await startAll(world);
-  await world.clock.advance(1_500);
-  assert.deepEqual(versionsOf(world), [2, 2, 2]);
+test('a start recovers from an unreadable snapshot', async () => {
+  const platform = await createKilledFleet(3, [7]);
+  platform.store.writeSnapshot(Uint8Array.of(1, 2, 3), 0);
+  await startAll(platform);
+  await platform.clock.advance(1_500);
+  assert.deepEqual(versionsOf(platform), [2, 2, 2]);
 });
 
-test('a fleet that starts while the kept copy lags behind what history holds reads everything', async () => {
-  const world = await createKilledFleet(3, [7]);
-  const {catalog} = await startOne(world);
-  world.killDaemon('d0');
-  world.store.writeSnapshot(encodeSnapshot(catalog, 0), 0);
-  world.publish([PAY]);
-  world.store.forgetHistory();
-  await startAll(world);
-  await world.clock.advance(2_000);
-  assert.deepEqual(versionsOf(world), [3, 3, 3]);
+test('a fleet reads everything if its snapshot predates the events that the store retains', async () => {
+  const platform = await createKilledFleet(3, [7]);
+  const {catalog} = await startOne(platform);
+  platform.killDaemon('d0');
+  platform.store.writeSnapshot(encodeSnapshot(catalog, 0), 0);
+  platform.publish([PAY]);
+  platform.store.forgetHistory();
+  await startAll(platform);
+  await platform.clock.advance(2_000);
+  assert.deepEqual(versionsOf(platform), [3, 3, 3]);
 });
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -72,7 +72,7 @@
   private readonly polls = new Map<string, ReachabilityPoll>();
   /** When the cooldown of each server ends; monotonic milliseconds. */
   private readonly cooldowns = new Map<string, number>();
-  /** By service, in monotonic milliseconds. */
+  /** End of the time in which each service's findings are ignored; monotonic milliseconds. */
   private readonly findingsIgnoredUntil = new Map<string, number>();
   private activeProbes = 0;
   private isStopped = false;
@@ -81,7 +81,7 @@
     this.findings = UnreachableServers.create(options.flowLifetimeMs);
   }
 
-  /** Creates it without findings. */
+  /** Creates an instance without findings. */
   static create(options: ServerReachabilityOptions): ServerReachability {
     return new ServerReachability(options);
   }
@@ -283,8 +283,8 @@
   }
 
   /**
-   * Selects random peers, the first from the server's failure domain if possible and the
-   * others from further domains; peers of this daemon's own domain come last.
+   * Selects peers to probe a server: one from the server's failure domain if possible, the
+   * other from a further domain. Peers of this daemon's own domain are the last choice.
    */
   private selectHelpers({failureDomain}: CatalogServer): PeerDaemon[] {
     const {peers, clock} = this.options;
