--- a/src/entry/entry-daemon.spec.ts
+++ b/src/entry/entry-daemon.spec.ts
@@ -233,12 +233,12 @@
   await platform.clock.advance(300);
   platform.store.outages.set('', OutageKind.BUSY);
   await platform.clock.advance(3_000);
-  const lapsed = platform.liveServers('pay').slice(0, 4);
-  lapsed.forEach(({entry}) => platform.store.removeServer(entry.id));
+  const expired = platform.liveServers('pay').slice(0, 4);
+  expired.forEach(({entry}) => platform.store.removeServer(entry.id));
   await platform.clock.advance(500);
   platform.store.outages.clear();
   await platform.clock.advance(1_500);
-  lapsed.forEach(({entry}) => platform.store.putServer(entry));
+  expired.forEach(({entry}) => platform.store.putServer(entry));
   await platform.clock.advance(8_000);
   assert.deepEqual(platform.broken, []);
   assert.equal(platform.tally.ends.answered, 11);
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -31,7 +31,7 @@
   processTimeFields,
 } from './log-fields.js';
 import {PacketHandler} from './packet-handler.js';
-import {GracefulShutdown} from './planned-stop.js';
+import {GracefulShutdown} from './graceful-shutdown.js';
 import type {EntrySettings} from './settings.js';
 
 /** Settings, ports and adapters of an `EntryDaemon`. */
--- a/src/entry/planned-stop.spec.ts
+++ b/src/entry/graceful-shutdown.spec.ts
@@ -3,7 +3,7 @@
 import {FakeClock} from '../../standins/fake-clock.js';
 import {PeerView} from '../membership/peer-view.js';
 import {Random} from '../routing/random.js';
-import {GracefulShutdown} from './planned-stop.js';
+import {GracefulShutdown} from './graceful-shutdown.js';
 
 const SELF = 1;
 const STOP_LIMIT_MS = 6_000;
