--- /dev/null
+++ b/src/entry/graceful-shutdown.ts
@@ -0,0 +1,90 @@
+/**
+ * Timing of a graceful shutdown: waits until enough other daemons of the failure domain
+ * are ready, and then until the fabric sends no more packets.
+ *
+ * A fabric that finds fewer than half of a domain's daemons ready sends packets to all of
+ * them, ended ones included. Daemons that are stopped in close succession therefore wait
+ * for those stopped before to come back.
+ */
+import type {PeerView} from '../membership/peer-view.js';
+import type {Clock} from '../ports/clock.js';
+
+/** Interval between two checks of a condition. */
+const POLL_INTERVAL_MS = 100;
+/**
+ * Minimum time of forwarding after the daemon reports not ready: the fabric checks every
+ * 500 ms and stops sending after two failed checks.
+ */
+const MIN_DRAIN_MS = 1_100;
+/** Time without a packet after which the fabric has stopped sending. */
+const TRAFFIC_END_MS = 300;
+/** Time reserved for the exit of the process on a slow instance. */
+const EXIT_RESERVE_MS = 800;
+/** Time reserved for forwarding after the wait for other daemons. */
+const DRAIN_RESERVE_MS = 1_800;
+
+/** Dependencies and limits of a `GracefulShutdown`. */
+export interface GracefulShutdownOptions {
+  readonly clock: Clock;
+  readonly peers: PeerView;
+  readonly failureDomain: string;
+  /** Time limit of the whole shutdown, in milliseconds. */
+  readonly stopLimitMs: number;
+  /** Monotonic milliseconds of the last packet from the fabric. */
+  lastPacketAt(): number;
+}
+
+/** The waits of one daemon's shutdown; both end early when time runs out. */
+export class GracefulShutdown {
+  private readonly deadline: number;
+
+  private constructor(private readonly options: GracefulShutdownOptions) {
+    const {clock, stopLimitMs} = options;
+    this.deadline = clock.now() + stopLimitMs - EXIT_RESERVE_MS;
+  }
+
+  /** Creates a shutdown whose time limit starts now. */
+  static create(options: GracefulShutdownOptions): GracefulShutdown {
+    return new GracefulShutdown(options);
+  }
+
+  /** Waits until more of the domain's other daemons are ready than not. */
+  async awaitPeerCapacity(): Promise<void> {
+    const latest = this.deadline - DRAIN_RESERVE_MS;
+    await this.pollUntil(() => this.canLeave(), latest);
+  }
+
+  /** Waits until the fabric sends no more packets. */
+  async awaitTrafficEnd(): Promise<void> {
+    const {clock} = this.options;
+    const earliest = clock.now() + MIN_DRAIN_MS;
+    const hasTrafficEnded = () =>
+      clock.now() >= earliest &&
+      clock.now() - this.options.lastPacketAt() >= TRAFFIC_END_MS;
+    await this.pollUntil(hasTrafficEnded, this.deadline);
+  }
+
+  /** Counts only the peers in this daemon's view, which is partial in a large domain. */
+  private canLeave(): boolean {
+    const {peers, clock, failureDomain} = this.options;
+    const now = clock.now();
+    const ready = peers
+      .live(now)
+      .filter(peer => peer.failureDomain === failureDomain && !peer.leaving);
+    const notReady = new Set(
+      [...peers.leaving(now), ...peers.missing(now)].map(
+        ({address}) => address,
+      ),
+    );
+    return notReady.size === 0 || ready.length > notReady.size;
+  }
+
+  private async pollUntil(isMet: () => boolean, latest: number): Promise<void> {
+    const {clock} = this.options;
+    while (!isMet() && clock.now() < latest) {
+      await new Promise<void>(resolve => {
+        clock.callAt(clock.now() + POLL_INTERVAL_MS, resolve);
+      });
+    }
+  }
+}
