--- a/src/adapters/daemon-peers.spec.ts
+++ b/src/adapters/daemon-peers.spec.ts
@@ -16,7 +16,7 @@
 const clock = SystemClock.create();
 let nextPort = 31_000 + (process.pid % 500);
 
-/** Writes a certificate that is its own authority; returns the settings. */
+/** Writes a self-signed certificate that is its own authority; returns the settings. */
 async function createCertificate(
   name: string,
   key: string,
@@ -80,7 +80,7 @@
   assert.ok(holds());
 }
 
-test('daemons with the certificate and key talk; strangers are refused and counted', async () => {
+test('peers without the certificate and key are refused and counted', async () => {
   const ours = await createCertificate('ours', 'shared');
   const theirs = await createCertificate('theirs', 'another');
   const a = await createPeers('a', ours);
@@ -89,8 +89,8 @@
   const open = await createPeers('open', {});
 
   const deadline = () => clock.now() + CALL_MS;
-  const told = await a.peers.pushExceptions(b.address, [], deadline());
-  assert.ok(told.isOk());
+  const pushed = await a.peers.pushExceptions(b.address, [], deadline());
+  assert.ok(pushed.isOk());
   a.peers.hint(b.address, {
     keyHigh: 1,
     keyLow: 2,
@@ -121,7 +121,7 @@
   await Promise.all([a, b, stranger, open].map(({peers}) => peers.close()));
 });
 
-test('certificates that cannot be used are a typed fault', () => {
+test('incomplete or missing certificates fail with SecurityUnusable', () => {
   const half = loadPeerSecurity({certificate: 'x'});
   assert.equal(half._unsafeUnwrapErr().type, 'SecurityUnusable');
   const missing = loadPeerSecurity({
--- a/src/adapters/daemon-peers.ts
+++ b/src/adapters/daemon-peers.ts
@@ -1,4 +1,7 @@
-/** Peers: datagrams over UDP and calls over gRPC, on the same "ip:port". */
+/**
+ * Transport between daemons: datagrams over UDP and calls over gRPC, both at the same
+ * "ip:port".
+ */
 import type dgram from 'node:dgram';
 import {
   Server,
@@ -28,27 +31,28 @@
 import type {Clock} from '../ports/clock.js';
 import {Metric, type Counters} from '../ports/counters.js';
 import {PeerUnavailable, Peers, type PeerHandlers} from '../ports/peers.js';
-import {DatagramDigest} from './datagram-digest.js';
+import {DatagramAuthenticator} from './datagram-authenticator.js';
 import {
   CHANNEL_OPTIONS,
   bindServer,
   callUnary,
-  isUnsent,
+  wasNeverSent,
   stopServer,
   type Invocation,
 } from './grpc-call.js';
 import {bindUdp, sendUdp} from './udp-socket.js';
 
-const STOP_MS = 500;
+/** Time that calls in progress get to finish when the server closes. */
+const STOP_TIMEOUT_MS = 500;
 
-/** Certificates of both ends of the calls between daemons. */
+/** Credentials for calls and datagrams between daemons. */
 export interface PeerSecurity {
   readonly server: ServerCredentials;
   readonly client: ChannelCredentials;
+  /** Shared key that authenticates datagrams; undefined: they are not authenticated. */
   readonly datagramKey: string | undefined;
 }
 
-/** What the adapter is made from. */
 export interface DaemonPeersOptions {
   readonly id: string;
   /** "ip:port" of this daemon. */
@@ -58,21 +62,23 @@
   readonly security: PeerSecurity;
 }
 
-/** The peers of one daemon. */
+/** Sends to and receives from the peers of one daemon. */
 export class DaemonPeers extends Peers {
   private readonly server = new Server(CHANNEL_OPTIONS);
   private readonly clients = new Map<string, PeerClient>();
-  private readonly digest: DatagramDigest;
+  private readonly authenticator: DatagramAuthenticator;
 
   private constructor(
     private readonly socket: dgram.Socket,
     private readonly options: DaemonPeersOptions,
   ) {
     super();
-    this.digest = DatagramDigest.create(options.security.datagramKey);
+    this.authenticator = DatagramAuthenticator.create(
+      options.security.datagramKey,
+    );
   }
 
-  /** Opens the datagram socket; `serve` opens the rest. */
+  /** Binds the datagram socket; `serve` starts the gRPC server. */
   static async create(options: DaemonPeersOptions): Promise<DaemonPeers> {
     return new DaemonPeers(await bindUdp(options.address), options);
   }
@@ -90,17 +96,20 @@
   }
 
   pass(address: string, passed: PassedPacket): void {
-    const bytes = this.sendDatagram(address, {...this.empty(), passed});
+    const bytes = this.sendDatagram(address, {
+      ...this.createDatagram(),
+      passed,
+    });
     this.options.counters.add(Metric.PEER_BYTES_SENT, bytes);
   }
 
   hint(address: string, hint: Hint): void {
-    const bytes = this.sendDatagram(address, {...this.empty(), hint});
+    const bytes = this.sendDatagram(address, {...this.createDatagram(), hint});
     this.options.counters.add(Metric.PEER_BYTES_SENT, bytes);
   }
 
   probe(address: string, probe: Probe): void {
-    const bytes = this.sendDatagram(address, {...this.empty(), probe});
+    const bytes = this.sendDatagram(address, {...this.createDatagram(), probe});
     this.options.counters.add(Metric.CONTROL_BYTES_SENT, bytes);
     this.options.counters.add(Metric.CONTROL_DATAGRAMS_SENT);
   }
@@ -111,7 +120,7 @@
     deadline: number,
     target = '',
   ): ResultAsync<number, PeerUnavailable> {
-    const client = this.clientOf(address);
+    const client = this.getClient(address);
     const request = {sender: this.options.id, exceptions, target};
     const {counters} = this.options;
     const bytes = ExceptionBatch.encode(request).finish().length;
@@ -128,7 +137,7 @@
     deadline: number,
   ): ResultAsync<FlowException[], PeerUnavailable> {
     const timeLeft = Math.max(1, deadline - this.options.clock.now());
-    const stream = this.clientOf(address).pullState(
+    const stream = this.getClient(address).pullState(
       {sender: this.options.id, partitions},
       {deadline: Date.now() + timeLeft},
     );
@@ -151,7 +160,7 @@
     after: number,
     deadline: number,
   ): ResultAsync<ChangeList, PeerUnavailable> {
-    const client = this.clientOf(address);
+    const client = this.getClient(address);
     const request = {sender: this.options.id, epoch, after};
     return this.call<ChangeList>(address, deadline, (...rest) =>
       client.pullChanges(request, ...rest),
@@ -162,7 +171,7 @@
     address: string,
     deadline: number,
   ): ResultAsync<MemberList, PeerUnavailable> {
-    const client = this.clientOf(address);
+    const client = this.getClient(address);
     return this.call<MemberList>(address, deadline, (...rest) =>
       client.pullMembers({}, ...rest),
     );
@@ -173,7 +182,7 @@
     request: CallerRequest,
     deadline: number,
   ): ResultAsync<CallerReply, PeerUnavailable> {
-    const client = this.clientOf(address);
+    const client = this.getClient(address);
     return this.call<CallerReply>(address, deadline, (...rest) =>
       client.forward(request, ...rest),
     );
@@ -185,7 +194,7 @@
     records: KeyRecord[],
     deadline: number,
   ): ResultAsync<number, PeerUnavailable> {
-    const client = this.clientOf(address);
+    const client = this.getClient(address);
     const request = {sender: this.options.id, range, records};
     return this.call<BatchReply>(address, deadline, (...rest) =>
       client.keepKeys(request, ...rest),
@@ -197,7 +206,7 @@
     range: number,
     deadline: number,
   ): ResultAsync<KeyRecord[], PeerUnavailable> {
-    const client = this.clientOf(address);
+    const client = this.getClient(address);
     const request = {sender: this.options.id, range};
     return this.call<KeyBatch>(address, deadline, (...rest) =>
       client.pullKeys(request, ...rest),
@@ -210,18 +219,18 @@
     invoke: Invocation<T>,
   ): ResultAsync<T, PeerUnavailable> {
     return callUnary(this.options.clock, deadline, invoke).mapErr(error =>
-      PeerUnavailable.create(address, error.details, !isUnsent(error)),
+      PeerUnavailable.create(address, error.details, !wasNeverSent(error)),
     );
   }
 
   async close(): Promise<void> {
     this.clients.forEach(client => client.close());
     const {clock} = this.options;
-    await stopServer(this.server, clock, clock.now() + STOP_MS);
+    await stopServer(this.server, clock, clock.now() + STOP_TIMEOUT_MS);
     this.socket.close();
   }
 
-  private empty(): PeerDatagram {
+  private createDatagram(): PeerDatagram {
     return {
       sender: this.options.id,
       passed: undefined,
@@ -231,7 +240,9 @@
   }
 
   private sendDatagram(address: string, datagram: PeerDatagram): number {
-    const bytes = this.digest.seal(PeerDatagram.encode(datagram).finish());
+    const bytes = this.authenticator.sign(
+      PeerDatagram.encode(datagram).finish(),
+    );
     sendUdp(this.socket, address, bytes);
     return bytes.length;
   }
@@ -258,7 +269,7 @@
   }
 
   private decode(bytes: Buffer): PeerDatagram | undefined {
-    const content = this.digest.open(bytes);
+    const content = this.authenticator.verify(bytes);
     if (content === undefined) {
       return undefined;
     }
@@ -269,7 +280,7 @@
     }
   }
 
-  private clientOf(address: string): PeerClient {
+  private getClient(address: string): PeerClient {
     const known = this.clients.get(address);
     if (known !== undefined) {
       return known;
@@ -284,7 +295,7 @@
   }
 }
 
-/** The calls that a daemon answers to its peers. */
+/** Maps the gRPC methods that peers call to handlers. */
 function createPeerServer(handlers: PeerHandlers): PeerServer {
   return {
     pushExceptions: (call, callback) => {
--- a/src/adapters/datagram-fleet.spec.ts
+++ b/src/adapters/datagram-fleet.spec.ts
@@ -43,8 +43,8 @@
   return {fleet, counters};
 }
 
-/** Waits until a condition holds, for two seconds at the most. */
-async function until(condition: () => boolean): Promise<void> {
+/** Waits up to two seconds until a condition holds. */
+async function waitUntil(condition: () => boolean): Promise<void> {
   const deadline = clock.now() + 2_000;
   while (!condition() && clock.now() < deadline) {
     await new Promise(resolve => setTimeout(resolve, 5));
@@ -52,7 +52,7 @@
   assert.ok(condition());
 }
 
-test('beats and pulls reach a peer; strangers cost a count and no more', async () => {
+test('heartbeats and pulls reach a peer; malformed datagrams and paths are rejected', async () => {
   const first = createFleet(FIRST);
   const second = createFleet(SECOND);
   const heard: Array<[number, Beat]> = [];
@@ -84,7 +84,7 @@
   await second.fleet.serve(ignore);
   try {
     second.fleet.sendHeartbeat(FIRST, BEAT);
-    await until(() => heard.length === 1);
+    await waitUntil(() => heard.length === 1);
     assert.deepEqual(heard[0], [SECOND, BEAT]);
 
     const pulled = await second.fleet.pull(
@@ -103,7 +103,7 @@
 
     const stranger = dgram.createSocket('udp4');
     stranger.send(Buffer.from([0xff, 0xff, 0xff]), PORT, '127.0.0.2');
-    await until(
+    await waitUntil(
       () => first.counters.read()[Metric.PEER_DATAGRAMS_REFUSED] === 1,
     );
     stranger.close();
@@ -119,7 +119,7 @@
   }
 });
 
-test('a pull from a peer that is not there fails with a type', async () => {
+test('a pull from an unreachable peer fails with PeerUnavailable', async () => {
   const {fleet} = createFleet(SECOND);
   const pulled = await fleet.pull(
     FIRST,
--- a/src/adapters/datagram-fleet.ts
+++ b/src/adapters/datagram-fleet.ts
@@ -1,4 +1,7 @@
-/** Beats as UDP datagrams and pulls as HTTP calls, both in protobuf, on one port. */
+/**
+ * The fleet channel over the network: heartbeats as UDP datagrams and pulls as HTTP
+ * requests, both with protobuf bodies, on one port.
+ */
 import type dgram from 'node:dgram';
 import {err, ok, type Result, type ResultAsync} from 'neverthrow';
 import {Beat, CatalogUpdate} from '../generated/catalog.js';
@@ -21,21 +24,20 @@
 import {bindUdp} from './udp-socket.js';
 
 const PULL_PATH = '/catalog';
-/** Largest answer to a pull that is read, in bytes: some 20,000 servers. */
-const LARGEST_UPDATE_BYTES = 4 * 1_024 * 1_024;
+/** Largest response to a pull that is accepted: about 20,000 servers. */
+const MAX_UPDATE_BYTES = 4 * 1_024 * 1_024;
 
-/** What a channel is made from. */
 export interface DatagramFleetOptions {
-  /** This instance's IPv4 address as a number. */
+  /** IPv4 address of this instance, as a number. */
   readonly address: number;
-  /** Port of all daemons, for UDP and TCP. */
+  /** UDP and TCP port, the same on all daemons. */
   readonly port: number;
   readonly clock: Clock;
   readonly counters: Counters;
   readonly log: Log;
 }
 
-/** The channel of one daemon. */
+/** The channel between one daemon and its peers. */
 export class DatagramFleet extends FleetChannel {
   private socket: dgram.Socket | undefined;
   private stopServing: () => void = () => undefined;
@@ -45,7 +47,7 @@
     super();
   }
 
-  /** Creates a channel that is closed until it serves. */
+  /** Creates a channel; `serve` opens its socket. */
   static create(options: DatagramFleetOptions): DatagramFleet {
     return new DatagramFleet(options);
   }
@@ -54,13 +56,18 @@
     const {address, port} = this.options;
     this.handlers = handlers;
     const endpoint = `${formatIpv4(address)}:${port}`;
-    this.socket = await bindUdp(endpoint, error => this.noteUnsent(error));
+    this.socket = await bindUdp(endpoint, error =>
+      this.recordSendFailure(error),
+    );
     this.socket.on('message', (bytes, from) =>
       this.receive(handlers, bytes, from.address),
     );
   }
 
-  /** Answers pulls; separate, since a starting daemon has nothing to give yet. */
+  /**
+   * Starts to answer pulls. Separate from `serve`, since a daemon has no catalog to offer
+   * while it starts.
+   */
   async servePulls(): Promise<void> {
     const {address, port} = this.options;
     this.stopServing = await servePlainHttp(
@@ -93,7 +100,7 @@
       host,
       port,
       clock,
-      longestBody: LARGEST_UPDATE_BYTES,
+      longestBody: MAX_UPDATE_BYTES,
     });
     return client
       .get(`${PULL_PATH}?${query.toString()}`, deadline)
@@ -115,7 +122,7 @@
     this.stopServing();
   }
 
-  private noteUnsent(error: Error): void {
+  private recordSendFailure(error: Error): void {
     const {counters, log} = this.options;
     counters.add(Metric.SEND_FAILURES);
     log.info('beat-not-sent', {cause: error.message});
@@ -136,11 +143,11 @@
   }
 }
 
-/** The update in an answer to a pull. */
+/** Decodes the response to a pull; the error is the cause as text. */
 function readUpdate({status, body}: HttpAnswer): Result<CatalogUpdate, string> {
   const update = decodeUpdate(body);
   return status !== HttpStatus.OK || update === undefined
-    ? err(`status ${status}, unreadable`)
+    ? err(`no catalog update in the response: status ${status}`)
     : ok(update);
 }
 
@@ -166,7 +173,7 @@
   };
 }
 
-/** Undefined for bytes that are no beat; the caller counts them. */
+/** Decodes a heartbeat; undefined when the bytes are malformed. */
 function decodeBeat(bytes: Uint8Array): Beat | undefined {
   try {
     return Beat.decode(bytes);
@@ -175,7 +182,7 @@
   }
 }
 
-/** Undefined for bytes that are no update; the pull then fails. */
+/** Decodes a catalog update; undefined when the bytes are malformed. */
 function decodeUpdate(bytes: Uint8Array): CatalogUpdate | undefined {
   try {
     return CatalogUpdate.decode(bytes);
--- a/src/adapters/grpc-backend-servers.ts
+++ b/src/adapters/grpc-backend-servers.ts
@@ -1,4 +1,4 @@
-/** Backend servers: packets over UDP, requests and health over gRPC. */
+/** Client of the backend servers: packets over UDP, requests and health checks over gRPC. */
 import type dgram from 'node:dgram';
 import {credentials, type ServiceError} from '@grpc/grpc-js';
 import type {ResultAsync} from 'neverthrow';
@@ -16,10 +16,10 @@
   type Cancellation,
 } from '../ports/backend-servers.js';
 import type {Clock} from '../ports/clock.js';
-import {CHANNEL_OPTIONS, callUnary, isUnsent} from './grpc-call.js';
+import {CHANNEL_OPTIONS, callUnary, wasNeverSent} from './grpc-call.js';
 import {bindUdp, sendUdp} from './udp-socket.js';
 
-/** Backend server clients, one connection a server. */
+/** Backend server clients, with one gRPC connection per server. */
 export class GrpcBackendServers extends BackendServers {
   private readonly clients = new Map<string, BackendClient>();
 
@@ -30,7 +30,7 @@
     super();
   }
 
-  /** Opens the socket that packets are sent from; `host` is an IP number. */
+  /** Binds the socket that packets are sent from; `host` is an IP address. */
   static async create(host: string, clock: Clock): Promise<GrpcBackendServers> {
     return new GrpcBackendServers(await bindUdp(`${host}:0`), clock);
   }
@@ -45,32 +45,32 @@
     deadline: number,
     onCancel?: Cancellation,
   ): ResultAsync<RunReply, BackendFailure> {
-    const client = this.clientOf(server);
+    const client = this.getClient(server);
     return callUnary<RunReply>(
       this.clock,
       deadline,
       (...rest) => client.run(request, ...rest),
       onCancel,
-    ).mapErr(error => failureOf(server, error));
+    ).mapErr(error => toBackendFailure(server, error));
   }
 
   health(
     server: string,
     deadline: number,
   ): ResultAsync<HealthReply, BackendFailure> {
-    const client = this.clientOf(server);
+    const client = this.getClient(server);
     return callUnary<HealthReply>(this.clock, deadline, (...rest) =>
       client.health({}, ...rest),
-    ).mapErr(error => failureOf(server, error));
+    ).mapErr(error => toBackendFailure(server, error));
   }
 
-  /** Closes all connections. */
+  /** Closes all connections and the socket. */
   close(): void {
     this.clients.forEach(client => client.close());
     this.socket.close();
   }
 
-  private clientOf(server: string): BackendClient {
+  private getClient(server: string): BackendClient {
     const known = this.clients.get(server);
     if (known !== undefined) {
       return known;
@@ -85,9 +85,12 @@
   }
 }
 
-/** Only a call that never had a connection surely did not run. */
-function failureOf(server: string, error: ServiceError): BackendFailure {
-  return isUnsent(error)
+/**
+ * Classifies a failed call: only one that never had a connection is known not to have run
+ * on the server.
+ */
+function toBackendFailure(server: string, error: ServiceError): BackendFailure {
+  return wasNeverSent(error)
     ? BackendUnreachable.create(server, error.details)
     : BackendSilent.create(server, error.details);
 }
--- a/src/adapters/grpc-call.ts
+++ b/src/adapters/grpc-call.ts
@@ -1,4 +1,4 @@
-/** What all gRPC clients and servers here share. */
+/** Channel options and helpers shared by all gRPC clients and servers. */
 import {
   Metadata,
   Server,
@@ -11,7 +11,7 @@
 import {ResultAsync} from 'neverthrow';
 import type {Clock} from '../ports/clock.js';
 
-/** Options of all channels: quick reconnects, and no retries of its own. */
+/** Options of all channels: quick reconnects, and no retries by the library. */
 export const CHANNEL_OPTIONS: ChannelOptions = {
   'grpc.enable_retries': 0,
   'grpc.initial_reconnect_backoff_ms': 100,
@@ -21,23 +21,26 @@
   'grpc.max_receive_message_length': 16 * 1_024 * 1_024,
 };
 
-/** Details with which the library says that it never connected. */
+/** Matches error details with which the library reports that it never connected. */
 const NOT_CONNECTED =
   /^No connection established|^Failed to connect|ECONNREFUSED/;
 
-/** Whether a failed call surely never left this process. */
-export function isUnsent(error: ServiceError): boolean {
+/** Whether a failed call is known never to have been sent. */
+export function wasNeverSent(error: ServiceError): boolean {
   return error.code === status.UNAVAILABLE && NOT_CONNECTED.test(error.details);
 }
 
-/** Invokes one method of a generated client. */
+/** Invokes a unary method of a generated client. */
 export type Invocation<T> = (
   metadata: Metadata,
   options: Partial<CallOptions>,
   callback: (error: ServiceError | null, response: T) => void,
 ) => {cancel(): void};
 
-/** Makes a call that ends at a deadline (monotonic milliseconds). */
+/**
+ * Makes a unary call with a deadline (monotonic milliseconds). `onCall` receives a
+ * function that cancels it.
+ */
 export function callUnary<T>(
   clock: Clock,
   deadline: number,
@@ -56,7 +59,7 @@
   return ResultAsync.fromPromise(promise, error => error as ServiceError);
 }
 
-/** Binds a server to "ip:port". */
+/** Binds a server to "ip:port"; resolves to its port. */
 export function bindServer(
   server: Server,
   address: string,
@@ -69,7 +72,7 @@
   });
 }
 
-/** Stops a server: running calls may end until the deadline, then are cut. */
+/** Stops a server; calls that are still in progress at the deadline are aborted. */
 export function stopServer(
   server: Server,
   clock: Clock,
--- a/src/adapters/grpc-instance-list.ts
+++ b/src/adapters/grpc-instance-list.ts
@@ -1,4 +1,4 @@
-/** The platform's instance list over gRPC. */
+/** Client of the platform's instance list over gRPC. */
 import {credentials} from '@grpc/grpc-js';
 import type {ResultAsync} from 'neverthrow';
 import {
@@ -17,9 +17,8 @@
 } from '../ports/instance-list.js';
 import {CHANNEL_OPTIONS, callUnary, type Invocation} from './grpc-call.js';
 
-const CALL_MS = 2_000;
+const CALL_TIMEOUT_MS = 2_000;
 
-/** Instance list client. */
 export class GrpcInstanceList extends InstanceList {
   private readonly client: InstancesClient;
 
@@ -35,7 +34,7 @@
     );
   }
 
-  /** Creates a client of the list at "ip:port". */
+  /** Creates a client; `address` is "ip:port". */
   static create(address: string, clock: Clock): GrpcInstanceList {
     return new GrpcInstanceList(address, clock);
   }
@@ -58,17 +57,17 @@
   private call(
     invoke: Invocation<ListReply>,
   ): ResultAsync<InstanceListing, InstanceListUnavailable> {
-    return callUnary(this.clock, this.clock.now() + CALL_MS, invoke)
+    return callUnary(this.clock, this.clock.now() + CALL_TIMEOUT_MS, invoke)
       .map(reply => ({
         version: reply.version,
-        instances: reply.instances.flatMap(listedInstance),
+        instances: reply.instances.flatMap(toListedInstance),
       }))
       .mapErr(error => InstanceListUnavailable.create(error.details));
   }
 }
 
-/** Entries with an unknown role or state are left out. */
-function listedInstance(instance: Instance): ListedInstance[] {
+/** Converts an entry; returns none when its role or state is unknown. */
+function toListedInstance(instance: Instance): ListedInstance[] {
   const role = Object.values(InstanceRole).find(
     known => known === instance.role,
   );
--- a/src/adapters/grpc-store.ts
+++ b/src/adapters/grpc-store.ts
@@ -1,4 +1,4 @@
-/** The platform's store over gRPC. */
+/** Client of the platform's key-value store over gRPC. */
 import {credentials, type ServiceError} from '@grpc/grpc-js';
 import {errAsync, type ResultAsync} from 'neverthrow';
 import {
@@ -21,11 +21,11 @@
 } from '../ports/store.js';
 import {CHANNEL_OPTIONS, callUnary, type Invocation} from './grpc-call.js';
 
-const CALL_MS = 2_000;
-/** Time that a watch may take beyond its own deadline. */
+const CALL_TIMEOUT_MS = 2_000;
+/** Extra time for the response to a watch whose own timeout has passed. */
 const WATCH_GRACE_MS = 1_000;
 
-/** Store client; every call is counted. */
+/** Store client that counts calls and failures. */
 export class GrpcStore extends Store {
   private readonly client: KeyValueClient;
 
@@ -42,14 +42,16 @@
     );
   }
 
-  /** Creates a client of the store at "ip:port". */
+  /** Creates a client; `address` is "ip:port". */
   static create(address: string, clock: Clock, counters: Counters): GrpcStore {
     return new GrpcStore(address, clock, counters);
   }
 
   get(key: string): ResultAsync<StoredValue, StoreFailure> {
-    return this.call<GetReply>('get', this.clock.now() + CALL_MS, (...rest) =>
-      this.client.get({key}, ...rest),
+    return this.call<GetReply>(
+      'get',
+      this.clock.now() + CALL_TIMEOUT_MS,
+      (...rest) => this.client.get({key}, ...rest),
     );
   }
 
@@ -64,7 +66,7 @@
     const request = {key, value: Buffer.from(value), expectedVersion};
     return this.call<CompareAndSwapReply>(
       'compareAndSwap',
-      this.clock.now() + CALL_MS,
+      this.clock.now() + CALL_TIMEOUT_MS,
       (...rest) => this.client.compareAndSwap(request, ...rest),
     ).map(reply => ({
       swapped: reply.swapped,
@@ -90,9 +92,12 @@
   ): ResultAsync<LeaseGrant, StoreFailure> {
     const sentMs = this.clock.now();
     const timeToLiveMs = Math.max(1, Math.floor(deadline - sentMs));
-    return this.call<LeaseReply>('acquireLease', sentMs + CALL_MS, (...rest) =>
-      this.client.acquireLease({key, holder, timeToLiveMs}, ...rest),
-    ).map(reply => grantOf(reply, sentMs));
+    return this.call<LeaseReply>(
+      'acquireLease',
+      sentMs + CALL_TIMEOUT_MS,
+      (...rest) =>
+        this.client.acquireLease({key, holder, timeToLiveMs}, ...rest),
+    ).map(reply => toLeaseGrant(reply, sentMs));
   }
 
   releaseLease(
@@ -100,9 +105,12 @@
     holder: string,
   ): ResultAsync<LeaseGrant, StoreFailure> {
     const sentMs = this.clock.now();
-    return this.call<LeaseReply>('releaseLease', sentMs + CALL_MS, (...rest) =>
-      this.client.releaseLease({key, holder, timeToLiveMs: 0}, ...rest),
-    ).map(reply => grantOf(reply, sentMs));
+    return this.call<LeaseReply>(
+      'releaseLease',
+      sentMs + CALL_TIMEOUT_MS,
+      (...rest) =>
+        this.client.releaseLease({key, holder, timeToLiveMs: 0}, ...rest),
+    ).map(reply => toLeaseGrant(reply, sentMs));
   }
 
   /** Closes the connection. */
@@ -123,8 +131,11 @@
   }
 }
 
-/** The time left is counted from before the call, so it is never too long. */
-function grantOf(reply: LeaseReply, sentMs: number): LeaseGrant {
+/**
+ * Converts a grant. The deadline counts from before the call, so a holder never believes
+ * in a lease that has expired.
+ */
+function toLeaseGrant(reply: LeaseReply, sentMs: number): LeaseGrant {
   return {
     held: reply.held,
     holder: reply.holder,
--- a/src/adapters/http-client.spec.ts
+++ b/src/adapters/http-client.spec.ts
@@ -15,7 +15,7 @@
   return clock.now() + LIMIT_MS;
 }
 
-/** Runs calls against a server of any kind. */
+/** Runs calls against a server, then closes it and its connections. */
 async function withServer(
   server: net.Server,
   run: (client: HttpClient) => Promise<void>,
@@ -41,7 +41,7 @@
   }
 }
 
-test('answers in one piece, in chunks and up to the end of the connection are read whole', async () => {
+test('responses with a length, in chunks and up to the end of the connection are read completely', async () => {
   const server = http.createServer((request, response) => {
     if (request.url === '/chunks') {
       response.write('some ');
@@ -63,7 +63,7 @@
   });
 });
 
-test('calls one after the other share a connection, calls at once do not', async () => {
+test('sequential calls share a connection, concurrent calls do not', async () => {
   let connections = 0;
   const server = http.createServer((_request, response) => {
     setTimeout(() => response.end('x'), 5);
@@ -78,7 +78,7 @@
   });
 });
 
-test('a connection that has fallen silent costs one deadline; new ones are taken after it', async () => {
+test('a hung connection costs one deadline; later calls use new connections', async () => {
   let silent = false;
   const server = net.createServer(socket => {
     const isOld = !silent;
@@ -95,13 +95,13 @@
     const failed = (await client.get('/', soon()))._unsafeUnwrapErr();
     assert.equal(failed.kind, HttpFailureKind.SILENT);
     assert.ok(clock.now() - started < LIMIT_MS * 1.5);
-    // The second old connection is as silent, and is not used again.
+    // The second old connection hangs too and must not be used again.
     assert.ok((await client.get('/', soon())).isOk());
     assert.ok((await client.get('/', soon())).isOk());
   });
 });
 
-test('a closed port, an answer broken off, no HTTP and too long a body have their kinds', async () => {
+test('a closed port, a truncated response, invalid HTTP and a large body have their failure kinds', async () => {
   const answers: Readonly<Record<string, string>> = {
     '/broken': 'HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nx',
     '/other': 'SSH-2.0-x\r\n\r\n',
@@ -130,7 +130,7 @@
   });
 });
 
-test('requests on one connection are answered in their order; bytes that are none close it', async () => {
+test('pipelined requests are answered in order; invalid bytes close the connection', async () => {
   const port = 17_911;
   const stop = await servePlainHttp(`${HOST}:${port}`, async target => {
     await new Promise(resolve =>
@@ -158,7 +158,7 @@
   stop();
 });
 
-/** Answers with `pieces` of ten bytes, 60 ms apart; ends only if told to. */
+/** Sends `pieces` of ten bytes, 60 ms apart; without `ends` the response stays incomplete. */
 function drip(pieces: number, ends: boolean): http.Server {
   return http.createServer((_request, response) => {
     response.setHeader('content-length', ends ? pieces * 10 : LONGEST_BODY);
@@ -168,7 +168,7 @@
   });
 }
 
-test('an answer whose bytes still come at the deadline is read whole', async () => {
+test('a response that is still arriving at the deadline is read completely', async () => {
   await withServer(drip(12, true), async client => {
     const startedAt = clock.now();
     const answer = (await client.get('/', soon()))._unsafeUnwrap();
@@ -177,7 +177,7 @@
   });
 });
 
-test('an answer that ceases to come ends soon after the deadline', async () => {
+test('a response that stalls fails soon after the deadline', async () => {
   await withServer(drip(8, false), async client => {
     const startedAt = clock.now();
     const failure = (await client.get('/', soon()))._unsafeUnwrapErr();
--- a/src/adapters/http-client.ts
+++ b/src/adapters/http-client.ts
@@ -1,29 +1,32 @@
 /**
- * Calls over HTTP/1.1 to one address. Each call has one deadline over
- * connecting, sending and answering; an answer whose bytes still come then is read on,
- * since a long one takes a slow link its time. A connection is used again while it works;
- * once a call fails, all of them are closed, since connections may fall silent
- * without a reset while new ones work.
+ * HTTP/1.1 client for one address. One deadline covers connecting, sending and receiving,
+ * but a response that is still arriving is read beyond it, for slow links. Connections are
+ * kept alive; after any failed call all are closed, since connections may hang without a
+ * reset while new ones work.
  */
 import net from 'node:net';
 import {err, ok, ResultAsync, type Result} from 'neverthrow';
 import type {Clock, Timer} from '../ports/clock.js';
-import {HttpMessages, HttpSide, type HttpMessage} from './http-messages.js';
+import {
+  HttpMessageParser,
+  HttpSide,
+  type HttpMessage,
+} from './http-message-parser.js';
 
-/** Why a call gave no answer. */
+/** Why a call failed. */
 export const HttpFailureKind = {
-  /** The connection was refused or closed. */
+  /** The connection was refused, reset or closed early. */
   DISCONNECTED: 'disconnected',
-  /** No answer before the deadline. */
+  /** No complete response in time. */
   SILENT: 'silent',
-  /** What came is no answer, or a larger one than is read. */
+  /** The response is not valid HTTP, or its body is too large. */
   MALFORMED: 'malformed',
 } as const;
 /** One of the kinds in `HttpFailureKind`. */
 export type HttpFailureKind =
   (typeof HttpFailureKind)[keyof typeof HttpFailureKind];
 
-/** A call gave no answer. */
+/** A call that received no usable response. */
 export class HttpFailure extends Error {
   readonly type = 'HttpFailure';
 
@@ -34,23 +37,21 @@
     super(message);
   }
 
-  /** Creates a failure. */
+  /** Creates a failure; `cause` becomes its message. */
   static create(kind: HttpFailureKind, cause: string): HttpFailure {
     return new HttpFailure(kind, cause);
   }
 }
 
 /**
- * Longest time between two pieces of an answer that is read on after its deadline, in
- * milliseconds: a lost packet is sent again after 200. Without it a daemon on a link of
- * 2 Mbit/s never gets 1,400 routes, by estimate 330 kB and 1.3 s, and a fleet of such
- * daemons that has lost all its copies never serves again.
+ * Longest gap between two reads of a response that is received beyond its deadline; covers
+ * one TCP retransmission, which takes about 200 ms.
  */
-const LONGEST_GAP_MS = 400;
-/** Time after its deadline at which an answer is given up in any case, in milliseconds. */
-const LONGEST_ARRIVAL_MS = 10_000;
+const MAX_RECEIVE_GAP_MS = 400;
+/** Time after its deadline at which a response is abandoned even if it still arrives. */
+const MAX_RECEIVE_OVERRUN_MS = 10_000;
 
-/** The answer to a call. */
+/** The response to a call. */
 export interface HttpAnswer {
   readonly status: number;
   readonly body: Buffer;
@@ -58,34 +59,33 @@
 
 type Outcome = Result<HttpMessage, HttpFailure>;
 
-/** What a client is made from. */
 export interface HttpClientOptions {
   readonly host: string;
   readonly port: number;
   readonly clock: Clock;
-  /** Longest body of an answer that is read, in bytes. */
+  /** Largest response body that is accepted, in bytes. */
   readonly longestBody: number;
 }
 
-/** Calls to one address. */
+/** HTTP client with kept-alive connections to one address. */
 export class HttpClient {
-  /** Connections that wait for their next call. */
+  /** Open connections without a call in progress. */
   private idle: HttpConnection[] = [];
   private readonly open = new Set<HttpConnection>();
 
   private constructor(private readonly options: HttpClientOptions) {}
 
-  /** Creates a client; it connects with the first call. */
+  /** Creates a client; it connects on the first call. */
   static create(options: HttpClientOptions): HttpClient {
     return new HttpClient(options);
   }
 
-  /** Gets a path; `deadline` is monotonic milliseconds. */
+  /** Sends a GET request; `deadline` is in monotonic milliseconds. */
   get(path: string, deadline: number): ResultAsync<HttpAnswer, HttpFailure> {
     return new ResultAsync(this.call(`GET ${path}`, '', deadline));
   }
 
-  /** Posts JSON to a path; `deadline` is monotonic milliseconds. */
+  /** Sends a POST request with a JSON body; `deadline` is in monotonic milliseconds. */
   post(
     path: string,
     body: object,
@@ -95,7 +95,7 @@
     return new ResultAsync(this.call(`POST ${path}`, text, deadline));
   }
 
-  /** Closes all connections; calls under way fail. */
+  /** Closes all connections; calls in progress fail. */
   close(): void {
     const closed = [...this.open];
     this.open.clear();
@@ -109,7 +109,7 @@
     deadline: number,
   ): Promise<Outcome> {
     const connection = this.idle.pop() ?? this.connect();
-    const release = this.limit(connection, deadline);
+    const release = this.enforceDeadline(connection, deadline);
     const outcome = await connection.call(target, body);
     release();
     if (outcome.isErr()) {
@@ -123,19 +123,28 @@
   }
 
   /**
-   * Fails the call under way at its deadline, or once the pieces of its answer cease to
-   * come; the returned function takes that back.
+   * Fails the call in progress at its deadline or, if its response is still arriving then,
+   * once it stalls. The returned function cancels this.
    */
-  private limit(connection: HttpConnection, deadline: number): () => void {
+  private enforceDeadline(
+    connection: HttpConnection,
+    deadline: number,
+  ): () => void {
     const {clock} = this.options;
-    const last = deadline + LONGEST_ARRIVAL_MS;
+    const latestMs = deadline + MAX_RECEIVE_OVERRUN_MS;
     let timer: Timer;
     const expire = () => {
-      const until = Math.min(last, connection.receivedAt + LONGEST_GAP_MS);
-      if (until > clock.now()) {
-        timer = clock.callAt(until, expire);
+      const giveUpAtMs = Math.min(
+        latestMs,
+        connection.lastReceivedAtMs + MAX_RECEIVE_GAP_MS,
+      );
+      if (giveUpAtMs > clock.now()) {
+        timer = clock.callAt(giveUpAtMs, expire);
       } else {
-        connection.fail(HttpFailureKind.SILENT, 'no answer in time');
+        connection.fail(
+          HttpFailureKind.SILENT,
+          'no complete response before the deadline',
+        );
       }
     };
     timer = clock.callAt(deadline, expire);
@@ -152,13 +161,13 @@
   }
 }
 
-/** One connection; it carries one call at a time. */
+/** One connection, with at most one call in progress. */
 class HttpConnection {
   private readonly socket: net.Socket;
-  private readonly messages: HttpMessages;
-  /** When a piece of the answer under way came; monotonic milliseconds. */
-  receivedAt = -Infinity;
-  /** Ends the call under way. */
+  private readonly parser: HttpMessageParser;
+  /** When bytes of the current response last arrived, in monotonic milliseconds. */
+  lastReceivedAtMs = -Infinity;
+  /** Resolves the call in progress; undefined when there is none. */
   private settle: ((outcome: Outcome) => void) | undefined;
 
   private constructor(
@@ -167,28 +176,31 @@
   ) {
     const {host, port, longestBody} = options;
     this.socket = net.connect({host, port, noDelay: true});
-    this.messages = HttpMessages.create({
+    this.parser = HttpMessageParser.create({
       sender: HttpSide.SERVER,
-      longestBody,
+      maxBodyBytes: longestBody,
       onMessage: message => this.finish(ok(message)),
     });
     this.socket.on('data', bytes => {
-      this.receivedAt = options.clock.now();
-      this.failBy(HttpFailureKind.MALFORMED, this.messages.read(bytes));
+      this.lastReceivedAtMs = options.clock.now();
+      this.failOn(HttpFailureKind.MALFORMED, this.parser.parse(bytes));
     });
     this.socket.on('end', () =>
-      this.failBy(HttpFailureKind.DISCONNECTED, this.messages.end()),
+      this.failOn(HttpFailureKind.DISCONNECTED, this.parser.end()),
     );
     this.socket.on('error', error =>
       this.fail(HttpFailureKind.DISCONNECTED, error.message),
     );
     this.socket.on('close', () => {
-      this.fail(HttpFailureKind.DISCONNECTED, 'closed without an answer');
+      this.fail(
+        HttpFailureKind.DISCONNECTED,
+        'connection closed before the response was complete',
+      );
       onClose();
     });
   }
 
-  /** Connects; `onClose` is called once when the connection is over. */
+  /** Connects; `onClose` is called once, when the connection has closed. */
   static create(
     options: HttpClientOptions,
     onClose: () => void,
@@ -196,10 +208,10 @@
     return new HttpConnection(options, onClose);
   }
 
-  /** Sends a method with its path, and JSON unless it is empty; one call at a time. */
+  /** Sends a request: `target` is method and path, `body` is JSON or empty. */
   call(target: string, body: string): Promise<Outcome> {
     const {host, port} = this.options;
-    this.receivedAt = -Infinity;
+    this.lastReceivedAtMs = -Infinity;
     const content =
       body === ''
         ? ''
@@ -212,19 +224,19 @@
     });
   }
 
-  /** Ends the call under way, if there is one, and closes. */
+  /** Fails the call in progress, if any, and closes the connection. */
   fail(kind: HttpFailureKind, cause: string): void {
     this.finish(err(HttpFailure.create(kind, cause)));
     this.close();
   }
 
-  /** Closes; a call under way then fails. */
+  /** Closes the connection; a call in progress fails. */
   close(): void {
     this.socket.destroy();
   }
 
-  /** Fails if there is a fault. */
-  private failBy(kind: HttpFailureKind, fault: Error | undefined): void {
+  /** Fails the connection if `fault` is given. */
+  private failOn(kind: HttpFailureKind, fault: Error | undefined): void {
     if (fault !== undefined) {
       this.fail(kind, fault.message);
     }
--- a/src/adapters/http-messages.ts
+++ b/src/adapters/http-message-parser.ts
@@ -1,22 +1,21 @@
 /**
- * HTTP/1.1 messages on a connection, read by the http-parser-js library. The
- * runtime's own HTTP module cannot be part of a start-up snapshot, and loading it
- * takes a fifth of a start's instructions; this parser is in the snapshot.
+ * Parses HTTP/1.1 messages with http-parser-js. Node's own `http` module cannot be part of
+ * a start-up snapshot and is slow to load; this parser is in the snapshot.
  */
 import {HTTPParser} from 'http-parser-js';
 
-/** A request or an answer, read to its end. */
+/** A complete request or response. */
 export interface HttpMessage {
-  /** Path and query of a request; empty in an answer. */
+  /** Path and query of a request; empty in a response. */
   readonly target: string;
-  /** Status of an answer; 0 in a request. */
+  /** Status of a response; 0 in a request. */
   readonly status: number;
   readonly body: Buffer;
-  /** Whether the connection may carry another exchange after this one. */
+  /** Whether the connection stays open after this exchange. */
   readonly keepsAlive: boolean;
 }
 
-/** Which end of a connection sent the messages. */
+/** The end of a connection that sends the parsed messages. */
 export const HttpSide = {
   CLIENT: HTTPParser.REQUEST,
   SERVER: HTTPParser.RESPONSE,
@@ -24,18 +23,16 @@
 /** One of the sides in `HttpSide`. */
 export type HttpSide = (typeof HttpSide)[keyof typeof HttpSide];
 
-/** What a reader of messages is made from. */
-export interface HttpMessagesOptions {
-  /** Who sends the messages. */
+export interface HttpMessageParserOptions {
   readonly sender: HttpSide;
-  /** Longest body that is read, in bytes. */
-  readonly longestBody: number;
-  /** Takes each message once it is whole. */
+  /** Largest body that is accepted, in bytes. */
+  readonly maxBodyBytes: number;
+  /** Receives each message once it is complete. */
   onMessage(message: HttpMessage): void;
 }
 
-/** Reads the messages that arrive on one connection. */
-export class HttpMessages {
+/** Parses the messages that arrive on one connection. */
+export class HttpMessageParser {
   private readonly parser: InstanceType<typeof HTTPParser>;
   private chunks: Buffer[] = [];
   private bodyBytes = 0;
@@ -43,7 +40,7 @@
   private status = 0;
   private keepsAlive = false;
 
-  private constructor(private readonly options: HttpMessagesOptions) {
+  private constructor(private readonly options: HttpMessageParserOptions) {
     this.parser = new HTTPParser(options.sender);
     this.parser[HTTPParser.kOnHeadersComplete] = head => {
       this.target = head.url ?? '';
@@ -54,31 +51,31 @@
       this.bodyBytes += length;
       this.chunks.push(chunk.subarray(offset, offset + length));
     };
-    this.parser[HTTPParser.kOnMessageComplete] = () => this.handOver();
+    this.parser[HTTPParser.kOnMessageComplete] = () => this.emitMessage();
   }
 
-  /** Creates a reader at the beginning of a connection. */
-  static create(options: HttpMessagesOptions): HttpMessages {
-    return new HttpMessages(options);
+  /** Creates a parser for a new connection. */
+  static create(options: HttpMessageParserOptions): HttpMessageParser {
+    return new HttpMessageParser(options);
   }
 
-  /** Reads bytes; returns why they are no message, if so. */
-  read(bytes: Buffer): Error | undefined {
+  /** Parses received bytes; returns an error when they are invalid or a body is too large. */
+  parse(bytes: Buffer): Error | undefined {
     const result = this.parser.execute(bytes);
     if (result instanceof Error) {
       return result;
     }
-    return this.bodyBytes > this.options.longestBody
-      ? new Error('the body is too large')
+    return this.bodyBytes > this.options.maxBodyBytes
+      ? new Error(`body larger than ${this.options.maxBodyBytes} bytes`)
       : undefined;
   }
 
-  /** Notes that nothing more will come; returns what is missing, if so. */
+  /** Handles the end of the stream; returns an error when a message is incomplete. */
   end(): Error | undefined {
     return this.parser.finish() ?? undefined;
   }
 
-  private handOver(): void {
+  private emitMessage(): void {
     const {target, status, keepsAlive} = this;
     const body = Buffer.concat(this.chunks);
     this.chunks = [];
--- a/src/adapters/memory-counters.spec.ts
+++ b/src/adapters/memory-counters.spec.ts
@@ -3,7 +3,7 @@
 import {Metric} from '../ports/counters.js';
 import {MemoryCounters} from './memory-counters.js';
 
-test('counters, gauges and histograms are served as text', async () => {
+test('counters, gauges and histograms are exposed in the Prometheus text format', async () => {
   const counters = MemoryCounters.create();
   counters.add(Metric.PACKETS_FORWARDED, 3);
   counters.set(Metric.FLOWS_HELD, 7);
--- a/src/adapters/memory-counters.ts
+++ b/src/adapters/memory-counters.ts
@@ -1,29 +1,30 @@
-/** Counters kept in memory, served as text by prom-client. */
+/** In-memory counters, exposed in the Prometheus text format by prom-client. */
 import type * as prometheus from 'prom-client';
 import {Counters, type Metric} from '../ports/counters.js';
 
-/** Upper bounds of a histogram's buckets, in milliseconds. */
 const BUCKET_BOUNDS_MS: readonly number[] = [
   1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000,
 ];
 
-/** The module that writes the text. */
+/** The prom-client module. */
 export type TextWriter = typeof prometheus;
 
 /** Counters, gauges and histograms of one process. */
 export class MemoryCounters extends Counters {
   private readonly counters = new Map<Metric, number>();
   private readonly gauges = new Map<Metric, number>();
-  /** Counts by bucket; the last one has no upper bound. */
+  /** Observations per bucket; the last bucket has no upper bound. */
   private readonly histograms = new Map<Metric, number[]>();
 
-  private constructor(private readonly loadWriter: () => Promise<TextWriter>) {
+  private constructor(
+    private readonly loadPrometheus: () => Promise<TextWriter>,
+  ) {
     super();
   }
 
   /**
-   * Creates counters at zero. The writer of the text is loaded with the first call
-   * that needs it, so that a start does not pay for it.
+   * Creates counters at zero. `loadPrometheus` is called when the text is first requested,
+   * which keeps prom-client out of the start-up path.
    */
   static create(
     loadWriter: () => Promise<TextWriter> = () => import('prom-client'),
@@ -52,18 +53,18 @@
     return Object.fromEntries([...this.counters, ...this.gauges]);
   }
 
-  /** All values in the text format of Prometheus. */
+  /** Returns all values in the Prometheus text format. */
   async text(): Promise<string> {
-    const writer = await this.loadWriter();
-    const registry = new writer.Registry();
+    const client = await this.loadPrometheus();
+    const registry = new client.Registry();
     this.counters.forEach((value, name) =>
-      writeCounter(writer, registry, name, value),
+      writeCounter(client, registry, name, value),
     );
     this.gauges.forEach((value, name) =>
-      writeGauge(writer, registry, name, value),
+      writeGauge(client, registry, name, value),
     );
     this.histograms.forEach((counts, name) =>
-      writeHistogram(writer, registry, name, counts),
+      writeHistogram(client, registry, name, counts),
     );
     return registry.metrics();
   }
@@ -75,7 +76,7 @@
   metric: Metric,
   value: number,
 ): void {
-  const name = `weldyard_${textName(metric)}_total`;
+  const name = `weldyard_${toPrometheusName(metric)}_total`;
   new Counter({name, help: metric, registers: [registry]}).inc(value);
 }
 
@@ -85,11 +86,11 @@
   metric: Metric,
   value: number,
 ): void {
-  const name = `weldyard_${textName(metric)}`;
+  const name = `weldyard_${toPrometheusName(metric)}`;
   new Gauge({name, help: metric, registers: [registry]}).set(value);
 }
 
-/** Writes for each bound how many times were at most as long. */
+/** Writes cumulative bucket counts: for each bound, the observations up to it. */
 function writeHistogram(
   {Gauge}: TextWriter,
   registry: prometheus.Registry,
@@ -97,7 +98,7 @@
   counts: readonly number[],
 ): void {
   const buckets = new Gauge({
-    name: `weldyard_${textName(metric)}_bucket`,
+    name: `weldyard_${toPrometheusName(metric)}_bucket`,
     help: `${metric}, counted up to each bound`,
     labelNames: ['le'],
     registers: [registry],
@@ -112,6 +113,6 @@
   });
 }
 
-function textName(name: string): string {
+function toPrometheusName(name: string): string {
   return name.split('.').join('_');
 }
--- a/src/adapters/peer-security.ts
+++ b/src/adapters/peer-security.ts
@@ -1,10 +1,10 @@
-/** Certificates and keys of the calls between daemons. */
+/** Loads the credentials for mutual TLS between daemons. */
 import {readFileSync} from 'node:fs';
 import {ServerCredentials, credentials} from '@grpc/grpc-js';
 import {err, ok, type Result} from 'neverthrow';
 import type {PeerSecurity} from './daemon-peers.js';
 
-/** Paths and the shared key, as settings name them. */
+/** Paths of PEM files, and the shared key for datagrams, as in the settings. */
 export interface SecuritySettings {
   readonly certificate?: string;
   readonly 'private-key'?: string;
@@ -12,10 +12,10 @@
   readonly 'datagram-key'?: string;
 }
 
-/** The certificates cannot be used. */
+/** The certificate settings are incomplete or a file is unreadable. */
 export class SecurityUnusable extends Error {
   readonly type = 'SecurityUnusable';
-  /** Creates the failure. */
+  /** Creates the failure; `cause` is part of its message. */
   static create(cause: string): SecurityUnusable {
     return new SecurityUnusable(
       `[security] ${cause}; name certificate, private-key and authority ` +
@@ -24,7 +24,7 @@
   }
 }
 
-/** Reads the files: all three of them for mutual TLS, or none. */
+/** Loads all three files for mutual TLS; without any, connections are unencrypted. */
 export function loadPeerSecurity(
   settings: SecuritySettings,
 ): Result<PeerSecurity, SecurityUnusable> {
@@ -44,7 +44,9 @@
     privateKey === undefined ||
     authority === undefined
   ) {
-    return err(SecurityUnusable.create('one of the three files is not named'));
+    return err(
+      SecurityUnusable.create('only some of the three files are configured'),
+    );
   }
   try {
     const [chain, key, root] = [certificate, privateKey, authority].map(path =>
--- a/src/adapters/plain-http-server.ts
+++ b/src/adapters/plain-http-server.ts
@@ -1,43 +1,46 @@
-/** A small HTTP/1.1 server that answers paths, for calls without a body. */
+/** Minimal HTTP/1.1 server for requests without a body. */
 import net from 'node:net';
-import {HttpMessages, HttpSide, type HttpMessage} from './http-messages.js';
+import {
+  HttpMessageParser,
+  HttpSide,
+  type HttpMessage,
+} from './http-message-parser.js';
 
-/** Longest body of a request that is read and then ignored, in bytes. */
-const LONGEST_BODY = 64 * 1_024;
-/** Time without a byte after which a connection is closed, in milliseconds. */
-const IDLE_LIMIT_MS = 60_000;
+/** Largest request body that is accepted; bodies are ignored. */
+const MAX_BODY_BYTES = 64 * 1_024;
+const IDLE_TIMEOUT_MS = 60_000;
 
-/** Statuses that weldyard's own servers answer. */
+/** Status codes that the servers of weldyard send. */
 export const HttpStatus = {
   OK: 200,
   NOT_FOUND: 404,
   UNAVAILABLE: 503,
 } as const;
 
-const REASONS: Readonly<Record<number, string>> = {
+const REASON_PHRASES: Readonly<Record<number, string>> = {
   [HttpStatus.OK]: 'OK',
   [HttpStatus.NOT_FOUND]: 'Not Found',
   [HttpStatus.UNAVAILABLE]: 'Service Unavailable',
 };
 
-/** What a path answers. */
+/** The response of a handler. */
 export interface PlainAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string | Uint8Array;
 }
 
-/** Answers a path with its query; undefined when there is no such path. */
+/** Handles a path with its query; undefined sends 404. */
 export type PathHandler = (
   target: string,
 ) => PlainAnswer | undefined | Promise<PlainAnswer | undefined>;
 
-/** An answer of plain text. */
+/** Creates a plain-text response. */
 export function plainText(status: number, body: string): PlainAnswer {
   return {status, contentType: 'text/plain', body};
 }
 
-/** Serves at "ip:port"; the returned function stops it and closes connections. */
+/** Listens at "ip:port"; the returned function stops the server and closes connections. */
 export function servePlainHttp(
   address: string,
   handle: PathHandler,
@@ -61,48 +64,52 @@
   });
 }
 
-/** Answers the requests of one connection in the order in which they came. */
+/** Answers the requests of one connection in the order of arrival. */
 function serveConnection(socket: net.Socket, handle: PathHandler): void {
-  let before = Promise.resolve();
-  const messages = HttpMessages.create({
+  let previous = Promise.resolve();
+  const parser = HttpMessageParser.create({
     sender: HttpSide.CLIENT,
-    longestBody: LONGEST_BODY,
+    maxBodyBytes: MAX_BODY_BYTES,
     onMessage: message => {
-      before = before.then(() => answer(socket, message, handle));
+      previous = previous.then(() => respond(socket, message, handle));
     },
   });
-  socket.setTimeout(IDLE_LIMIT_MS, () => socket.destroy());
-  // The caller has gone; there is nobody left to tell.
+  socket.setTimeout(IDLE_TIMEOUT_MS, () => socket.destroy());
+  // The client has disconnected, so no response is possible.
   socket.on('error', () => socket.destroy());
   socket.on('data', bytes => {
-    if (messages.read(bytes) !== undefined) {
+    if (parser.parse(bytes) !== undefined) {
       socket.destroy();
     }
   });
 }
 
-/** A handler that fails costs its caller the connection. */
-async function answer(
+/** Sends the response of a handler; closes the connection when the handler throws. */
+async function respond(
   socket: net.Socket,
   {target, keepsAlive}: HttpMessage,
   handle: PathHandler,
 ): Promise<void> {
   try {
     const given = await handle(target);
-    write(socket, given ?? plainText(HttpStatus.NOT_FOUND, ''), keepsAlive);
+    writeResponse(
+      socket,
+      given ?? plainText(HttpStatus.NOT_FOUND, ''),
+      keepsAlive,
+    );
   } catch {
     socket.destroy();
   }
 }
 
-function write(
+function writeResponse(
   socket: net.Socket,
   {status, contentType, body}: PlainAnswer,
   keepsAlive: boolean,
 ): void {
   const bytes = typeof body === 'string' ? Buffer.from(body) : body;
   const head = [
-    `HTTP/1.1 ${status} ${REASONS[status] ?? 'Other'}`,
+    `HTTP/1.1 ${status} ${REASON_PHRASES[status] ?? 'Other'}`,
     `Content-Type: ${contentType}`,
     `Content-Length: ${bytes.length}`,
     `Connection: ${keepsAlive ? 'keep-alive' : 'close'}`,
--- a/src/adapters/ring-timeline.ts
+++ b/src/adapters/ring-timeline.ts
@@ -1,4 +1,4 @@
-/** A bounded ring of events with a hybrid logical clock. */
+/** In-memory timeline of the newest events, stamped by a hybrid logical clock. */
 import type {Clock} from '../ports/clock.js';
 import {
   Timeline,
@@ -7,9 +7,9 @@
   type TimelineRecord,
 } from '../ports/timeline.js';
 
-const CAPACITY = 4_096;
+const CAPACITY_EVENTS = 4_096;
 
-/** Time line of one process, in memory. */
+/** Timeline of one process. */
 export class RingTimeline extends Timeline {
   private records: TimelineRecord[] = [];
   private stamp: Stamp = {physicalMs: 0, logical: 0};
@@ -21,7 +21,7 @@
     super();
   }
 
-  /** Creates an empty time line. */
+  /** Creates an empty timeline. */
   static create(process: string, clock: Clock): RingTimeline {
     return new RingTimeline(process, clock);
   }
@@ -30,11 +30,11 @@
     kind: EventKind,
     detail: Readonly<Record<string, string | number | boolean>>,
   ): void {
-    this.stamp = this.next(this.stamp);
+    this.stamp = this.nextStamp(this.stamp);
     const {process, stamp} = this;
     this.records.push({process, stamp, kind, detail});
-    if (this.records.length > CAPACITY * 2) {
-      this.records = this.records.slice(-CAPACITY);
+    if (this.records.length > CAPACITY_EVENTS * 2) {
+      this.records = this.records.slice(-CAPACITY_EVENTS);
     }
   }
 
@@ -47,11 +47,11 @@
   }
 
   recent(limit: number): readonly TimelineRecord[] {
-    return this.records.slice(-Math.min(limit, CAPACITY));
+    return this.records.slice(-Math.min(limit, CAPACITY_EVENTS));
   }
 
-  /** The wall clock, or one step after the newest stamp when that is later. */
-  private next(stamp: Stamp): Stamp {
+  /** Returns the wall clock, or the next logical step when that is not ahead of `stamp`. */
+  private nextStamp(stamp: Stamp): Stamp {
     const wall = this.clock.wall();
     return wall > stamp.physicalMs
       ? {physicalMs: wall, logical: 0}
--- a/src/adapters/script-xxhash-hasher.spec.ts
+++ b/src/adapters/script-xxhash-hasher.spec.ts
@@ -4,7 +4,7 @@
 import {ScriptXxhashHasher} from './script-xxhash-hasher.js';
 import {XxhashHasher} from './xxhash-hasher.js';
 
-test('both hashers give the same values, so daemons of either agree', async () => {
+test('the JavaScript and WebAssembly hashers return the same values', async () => {
   const compiled = await XxhashHasher.create();
   const script = ScriptXxhashHasher.create();
   const seeds = fc.integer({min: 0, max: 2 ** 32 - 1});
--- a/src/adapters/script-xxhash-hasher.ts
+++ b/src/adapters/script-xxhash-hasher.ts
@@ -1,18 +1,18 @@
 /**
- * Hashes by xxHash (32 bits) in plain JavaScript: the same values as the
- * WebAssembly library gives, at ten times its cost for a hash. A start-up snapshot
- * cannot hold WebAssembly, and compiling it takes a fifth of a start.
+ * xxHash (32 bits) in plain JavaScript, with the same values as the WebAssembly hasher.
+ * Hashing is slower, but the module can be part of a start-up snapshot, which cannot hold
+ * WebAssembly.
  */
 import {xxHash32} from 'js-xxhash';
 import {Hasher} from '../ports/hasher.js';
 
-/** Hasher over the js-xxhash library. */
+/** Hasher that uses the js-xxhash library. */
 export class ScriptXxhashHasher extends Hasher {
   private constructor() {
     super();
   }
 
-  /** Creates the hasher. */
+  /** Creates a hasher. */
   static create(): ScriptXxhashHasher {
     return new ScriptXxhashHasher();
   }
--- a/src/adapters/statsd-counters.ts
+++ b/src/adapters/statsd-counters.ts
@@ -1,12 +1,12 @@
-/** Counters kept in memory and sent to a statsd receiver by hot-shots. */
+/** In-memory counters, sent to a statsd receiver by hot-shots. */
 import {StatsD} from 'hot-shots';
 import {Counters, type Metric} from '../ports/counters.js';
 import {parseSocketAddress} from '../routing/ipv4.js';
 
-const PREFIX = 'weldyard.';
+const METRIC_PREFIX = 'weldyard.';
 const FLUSH_INTERVAL_MS = 10_000;
 
-/** Counters that a status page reads and statsd receives every 10 seconds. */
+/** Counters of one process, with periodic flushes to statsd. */
 export class StatsdCounters extends Counters {
   private readonly counters = new Map<Metric, number>();
   private readonly gauges = new Map<Metric, number>();
@@ -17,7 +17,7 @@
     super();
   }
 
-  /** Creates counters; without an address ("ip:port") nothing is sent. */
+  /** Creates counters; nothing is sent unless `address` is a valid "ip:port". */
   static create(address: string | undefined, process: string): StatsdCounters {
     const socket = parseSocketAddress(address ?? '');
     const host = address?.split(':')[0];
@@ -27,14 +27,14 @@
         : new StatsD({
             host,
             port: socket.port,
-            prefix: PREFIX,
+            prefix: METRIC_PREFIX,
             globalTags: {process},
             errorHandler: () => undefined,
           });
     return new StatsdCounters(client);
   }
 
-  /** Starts to send; the returned function sends once more and stops. */
+  /** Starts periodic flushes; the returned function flushes once more and stops. */
   start(): () => void {
     const timer = setInterval(() => this.flush(), FLUSH_INTERVAL_MS);
     return () => {
--- a/src/adapters/stdout-log.spec.ts
+++ b/src/adapters/stdout-log.spec.ts
@@ -6,7 +6,7 @@
 const MODULE = fileURLToPath(new URL('./stdout-log.js', import.meta.url));
 const CLOCK = fileURLToPath(new URL('./system-clock.js', import.meta.url));
 
-/** Runs a script that has a `log`, and returns the lines that it wrote. */
+/** Runs a script that uses `log`, and returns the lines that it wrote. */
 function linesOf(script: string): Array<Record<string, unknown>> {
   const program = `
     const {StdoutLog} = await import(${JSON.stringify(MODULE)});
@@ -25,7 +25,7 @@
     .map(line => JSON.parse(line));
 }
 
-test('lines are JSON with time, level, process, event and fields', () => {
+test('lines are JSON with timestamp, level, process, event and fields', () => {
   const [line] = linesOf("log.warn('ready', {routeVersion: 3});");
   assert.match(String(line['timestamp']), /^\d{4}-\d\d-\d\dT/);
   assert.equal(line['level'], 'warn');
@@ -34,7 +34,7 @@
   assert.equal(line['routeVersion'], 3);
 });
 
-test('lines over the budget are counted and told, warnings never left out', () => {
+test('info lines over the rate limit are suppressed and counted, warnings never', () => {
   const lines = linesOf(`
     Array.from({length: 500}, () => log.info('flow-placed'));
     Array.from({length: 100}, () => log.warn('source-lost'));
@@ -44,7 +44,7 @@
     lines.filter(({message}) => message === event).length;
   assert.equal(count('flow-placed'), 61);
   assert.equal(count('source-lost'), 100);
-  const told = lines.find(({message}) => message === 'lines-left-out');
-  assert.equal(told?.['of'], 'flow-placed');
-  assert.equal(told?.['count'], 440);
+  const summary = lines.find(({message}) => message === 'lines-left-out');
+  assert.equal(summary?.['of'], 'flow-placed');
+  assert.equal(summary?.['count'], 440);
 });
--- a/src/adapters/stdout-log.ts
+++ b/src/adapters/stdout-log.ts
@@ -1,7 +1,6 @@
 /**
- * JSON log lines on standard output, by winston's formats. Lines are kept in
- * a bounded buffer and written by one write at a time, off the main thread: a
- * reader that stops reading costs lines, which are counted, and no service.
+ * JSON log lines on standard output. Lines go through a bounded buffer and asynchronous
+ * writes, so a stalled reader blocks nothing; lines that do not fit are dropped and counted.
  */
 import {write} from 'node:fs';
 import printf from 'logform/printf.js';
@@ -9,34 +8,31 @@
 import type {Clock, Timer} from '../ports/clock.js';
 import {Log, type LogFields} from '../ports/log.js';
 
-const STANDARD_OUTPUT = 1;
-/** Text kept while the reader is slow, in characters. */
-const LONGEST_BACKLOG = 512 * 1_024;
-/** Time in which lines are gathered for one write, in milliseconds. */
-const GATHER_MS = 200;
-/**
- * Lines of one event a second; what is more is counted and told. Set so that
- * logging stays under a hundredth of the smallest instance's processor share.
- */
-const BUDGET_A_SECOND = 60;
+const STDOUT_FD = 1;
+const MAX_BACKLOG_CHARS = 512 * 1_024;
+/** Delay in which lines are batched into one write. */
+const WRITE_DELAY_MS = 200;
+/** Limit of `info` lines for each event; lines beyond it are suppressed and counted. */
+const MAX_INFO_LINES_PER_SECOND = 60;
 const SECOND_MS = 1_000;
 
 const LEVELS: readonly string[] = ['error', 'warn', 'info', 'debug'];
 
-interface Budget {
-  left: number;
-  leftOut: number;
-  /** Monotonic milliseconds at which the budget is filled again. */
-  renewAt: number;
+/** State of the rate limit for one event. */
+interface RateLimit {
+  remaining: number;
+  suppressed: number;
+  /** Monotonic milliseconds at which the next second of the limit begins. */
+  resetAtMs: number;
 }
 
 /** Log of one process on standard output. */
 export class StdoutLog extends Log {
   private backlog = '';
-  private lost = 0;
+  private droppedLines = 0;
   private isWriting = false;
   private timer: Timer | undefined;
-  private readonly budgets = new Map<string, Budget>();
+  private readonly rateLimits = new Map<string, RateLimit>();
   private readonly format = printf(info => JSON.stringify(info));
 
   private constructor(
@@ -47,86 +43,87 @@
     super();
   }
 
-  /** Creates a log whose lines carry the process's name. */
+  /** Creates a log; every line carries the process name. */
   static create(process: string, clock: Clock, level = 'info'): StdoutLog {
     return new StdoutLog(process, clock, level);
   }
 
   error(event: string, fields?: LogFields): void {
-    this.put('error', event, fields);
+    this.enqueue('error', event, fields);
   }
 
   warn(event: string, fields?: LogFields): void {
-    this.put('warn', event, fields);
+    this.enqueue('warn', event, fields);
   }
 
-  /** Lines of this level keep to a budget for each event. */
+  /** Logs a line, unless the rate limit of its event is exceeded. */
   info(event: string, fields?: LogFields): void {
-    if (this.isWithinBudget(event)) {
-      this.put('info', event, fields);
+    if (this.isWithinRateLimit(event)) {
+      this.enqueue('info', event, fields);
     }
   }
 
   debug(event: string, fields?: LogFields): void {
-    this.put('debug', event, fields);
+    this.enqueue('debug', event, fields);
   }
 
-  /** Writes what is left; resolves when it is written. */
+  /** Writes the buffered lines; resolves when they are written. */
   async flush(): Promise<void> {
     await this.writeAll();
   }
 
-  private isWithinBudget(event: string): boolean {
+  private isWithinRateLimit(event: string): boolean {
     const now = this.clock.now();
-    const budget = this.budgets.get(event);
-    if (budget === undefined || budget.renewAt <= now) {
-      this.tellLeftOut(event, budget?.leftOut ?? 0);
-      this.budgets.set(event, {
-        left: BUDGET_A_SECOND - 1,
-        leftOut: 0,
-        renewAt: now + SECOND_MS,
+    const rateLimit = this.rateLimits.get(event);
+    if (rateLimit === undefined || rateLimit.resetAtMs <= now) {
+      this.logSuppressed(event, rateLimit?.suppressed ?? 0);
+      this.rateLimits.set(event, {
+        remaining: MAX_INFO_LINES_PER_SECOND - 1,
+        suppressed: 0,
+        resetAtMs: now + SECOND_MS,
       });
       return true;
     }
-    if (budget.left > 0) {
-      budget.left -= 1;
+    if (rateLimit.remaining > 0) {
+      rateLimit.remaining -= 1;
       return true;
     }
-    budget.leftOut += 1;
+    rateLimit.suppressed += 1;
     return false;
   }
 
-  private tellLeftOut(event: string, count: number): void {
+  private logSuppressed(event: string, count: number): void {
     if (count > 0) {
-      this.put('warn', 'lines-left-out', {of: event, count});
+      this.enqueue('warn', 'lines-left-out', {of: event, count});
     }
   }
 
-  private put(level: string, event: string, fields?: LogFields): void {
+  private enqueue(level: string, event: string, fields?: LogFields): void {
     if (LEVELS.indexOf(level) > LEVELS.indexOf(this.level)) {
       return;
     }
-    if (this.backlog.length > LONGEST_BACKLOG) {
-      this.lost += 1;
+    if (this.backlog.length > MAX_BACKLOG_CHARS) {
+      this.droppedLines += 1;
       return;
     }
-    this.backlog += this.lineOf(level, event, fields);
-    this.timer ??= this.clock.callAt(this.clock.now() + GATHER_MS, () => {
+    this.backlog += this.formatLine(level, event, fields);
+    this.timer ??= this.clock.callAt(this.clock.now() + WRITE_DELAY_MS, () => {
       this.timer = undefined;
       void this.writeAll();
     });
   }
 
-  private lineOf(level: string, event: string, fields?: LogFields): string {
-    const told = this.lost > 0 ? {linesLost: this.lost} : {};
-    this.lost = 0;
+  private formatLine(level: string, event: string, fields?: LogFields): string {
+    const lossFields =
+      this.droppedLines > 0 ? {linesLost: this.droppedLines} : {};
+    this.droppedLines = 0;
     const line = this.format.transform({
       timestamp: new Date(this.clock.wall()).toISOString(),
       level,
       message: event,
       process: this.process,
       ...fields,
-      ...told,
+      ...lossFields,
     });
     return typeof line === 'object' ? `${String(line[MESSAGE])}\n` : '';
   }
@@ -139,24 +136,24 @@
     while (this.backlog !== '') {
       const text = this.backlog;
       this.backlog = '';
-      await writeWhole(text);
+      await writeFully(text);
     }
     this.isWriting = false;
   }
 }
 
-/** Writes a text; a reader that is gone costs the text. */
-async function writeWhole(text: string): Promise<void> {
+/** Writes a text completely; discards the rest when a write fails. */
+async function writeFully(text: string): Promise<void> {
   let left = Buffer.from(text, 'utf8');
   while (left.length > 0) {
-    const written = await writeOnce(left);
+    const written = await writeChunk(left);
     left = left.subarray(written === 0 ? left.length : written);
   }
 }
 
-function writeOnce(bytes: Buffer): Promise<number> {
+function writeChunk(bytes: Buffer): Promise<number> {
   return new Promise(resolve => {
-    write(STANDARD_OUTPUT, bytes, (error, written) =>
+    write(STDOUT_FD, bytes, (error, written) =>
       resolve(error === null ? written : 0),
     );
   });
--- a/src/adapters/system-clock.ts
+++ b/src/adapters/system-clock.ts
@@ -4,15 +4,15 @@
 const SECOND_MS = 1_000;
 
 /**
- * Clock over the process's uptime, which is monotonic, and `Date.now`. The
- * `performance` object would load eight modules at the start.
+ * Clock over `process.uptime`, which is monotonic, and `Date.now`. Avoids the `performance`
+ * object, which loads more modules at start.
  */
 export class SystemClock extends Clock {
   private constructor() {
     super();
   }
 
-  /** Creates the clock. */
+  /** Creates a clock. */
   static create(): SystemClock {
     return new SystemClock();
   }
--- a/src/adapters/tcp-contact.spec.ts
+++ b/src/adapters/tcp-contact.spec.ts
@@ -8,7 +8,6 @@
 import {TcpContact} from './tcp-contact.js';
 
 const LOOPBACK = 0x7f000001;
-/** Time for an attempt, in milliseconds. */
 const CONTACT_MS = 200;
 
 const clock = SystemClock.create();
@@ -20,7 +19,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-test('a host that takes or refuses a connection is reached at once', async () => {
+test('a host that accepts or refuses a connection is reached at once', async () => {
   const contact = TcpContact.create(clock);
   const server = net.createServer();
   const port = await listen(server);
@@ -34,7 +33,7 @@
   assert.ok(clock.now() - startedAt < 2_000);
 });
 
-/** Listens with a queue of one, and then takes nothing any more. */
+/** Listens with a backlog of one and never accepts. */
 const DEAF_LISTENER = `
   const {parentPort} = require('node:worker_threads');
   const server = require('node:net').createServer();
@@ -46,11 +45,10 @@
   });
 `;
 
-test('a host that says nothing is silent when the time is over', async t => {
+test('a host that does not answer is silent at the deadline', async t => {
   const listener = new Worker(DEAF_LISTENER, {eval: true});
   const [port] = (await once(listener, 'message')) as [number];
-  // These fill the queue; opening packets of others are dropped from now on, as a
-  // host without power drops them.
+  // Fills the backlog, so that further SYN packets are dropped as by a host that is down.
   const fillers = Array.from({length: 4}, () => net.connect(port, '127.0.0.1'));
   fillers.forEach(socket => socket.on('error', () => undefined));
   t.after(async () => {
--- a/src/adapters/tcp-contact.ts
+++ b/src/adapters/tcp-contact.ts
@@ -1,7 +1,6 @@
 /**
- * Contact by TCP connections that are closed as soon as they stand. A host that lives
- * answers with one or refuses it within a round trip, also while its server is busy;
- * no request is sent.
+ * Probes whether a host is reachable by opening TCP connections, without sending a request.
+ * A live host accepts or refuses within a round trip, even while its server is busy.
  */
 import net from 'node:net';
 import type {Clock} from '../ports/clock.js';
@@ -9,19 +8,19 @@
 import {formatIpv4} from '../routing/ipv4.js';
 
 /**
- * Shares of the time at which connections are begun. One lost packet would cost a
- * connection a second, so others are begun beside it; the last one meets a server that
- * has just come back.
+ * Fractions of the available time at which connection attempts start. Several attempts
+ * overlap because a lost SYN is retransmitted only after a second; the last one also
+ * reaches a server that has just come back.
  */
-const BEGIN_SHARES: readonly number[] = [0, 0.4, 0.8];
+const ATTEMPT_START_FRACTIONS: readonly number[] = [0, 0.4, 0.8];
 
-/** Contact from this process. */
+/** Probes servers from this process. */
 export class TcpContact extends ServerContact {
   private constructor(private readonly clock: Clock) {
     super();
   }
 
-  /** Creates the contact; deadlines are of this clock. */
+  /** Creates a prober; deadlines are on this clock. */
   static create(clock: Clock): TcpContact {
     return new TcpContact(clock);
   }
@@ -38,10 +37,10 @@
         const socket = net.connect({host: formatIpv4(address), port});
         sockets.push(socket);
         socket.once('connect', () => resolve(ContactResult.REACHED));
-        // A refusal comes from a host that lives; any other error proves nothing.
+        // A refusal proves that the host is up; other errors are no evidence that it is down.
         socket.on('error', () => resolve(ContactResult.REACHED));
       };
-      const timers = BEGIN_SHARES.map(share =>
+      const timers = ATTEMPT_START_FRACTIONS.map(share =>
         clock.callAt(begin + (deadline - begin) * share, connect),
       );
       clock.callAt(deadline, () => {
--- a/src/adapters/udp-fabric.spec.ts
+++ b/src/adapters/udp-fabric.spec.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {Packet, PacketKind, PeerDatagram} from '../generated/packet.js';
-import {DatagramDigest} from './datagram-digest.js';
+import {DatagramAuthenticator} from './datagram-authenticator.js';
 import {decodePacket} from './udp-fabric.js';
 
 const PACKET: Packet = {
@@ -16,7 +16,7 @@
   returnAddress: '127.0.0.1:5000',
 };
 
-test('a packet is read as it was written', () => {
+test('a packet header is decoded as it was encoded', () => {
   const read = decodePacket(Packet.encode(PACKET).finish());
   assert.deepEqual(read, {
     sourceAddress: PACKET.sourceAddress,
@@ -27,7 +27,7 @@
   });
 });
 
-test('no bytes make the reader throw, and ports stay in range', () => {
+test('arbitrary bytes never make decoding throw, and ports stay in range', () => {
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 64}), bytes => {
       const read = decodePacket(bytes);
@@ -40,7 +40,7 @@
   );
 });
 
-test('a packet cut short or with changed bytes never throws', () => {
+test('truncated and altered packets never make decoding throw', () => {
   const whole = Packet.encode(PACKET).finish();
   fc.assert(
     fc.property(
@@ -58,15 +58,18 @@
   );
 });
 
-test('a datagram of a stranger is refused', () => {
-  const own = DatagramDigest.create('a shared key');
+test('a datagram with a wrong authentication code is refused', () => {
+  const own = DatagramAuthenticator.create('a shared key');
   const bytes = Buffer.from(
     PeerDatagram.encode(PeerDatagram.fromPartial({sender: 'a'})).finish(),
   );
-  const sealed = Buffer.from(own.seal(bytes));
-  assert.deepEqual(own.open(sealed), bytes);
-  assert.equal(DatagramDigest.create('another').open(sealed), undefined);
+  const sealed = Buffer.from(own.sign(bytes));
+  assert.deepEqual(own.verify(sealed), bytes);
+  assert.equal(
+    DatagramAuthenticator.create('another').verify(sealed),
+    undefined,
+  );
   sealed[sealed.length - 1] ^= 1;
-  assert.equal(own.open(sealed), undefined);
-  assert.equal(own.open(Buffer.alloc(3)), undefined);
+  assert.equal(own.verify(sealed), undefined);
+  assert.equal(own.verify(Buffer.alloc(3)), undefined);
 });
--- a/src/adapters/udp-fabric.ts
+++ b/src/adapters/udp-fabric.ts
@@ -1,13 +1,13 @@
-/** The fabric as protobuf datagrams over UDP. */
+/** The fabric as UDP datagrams with protobuf packets. */
 import type dgram from 'node:dgram';
 import {PacketHeader, PacketKind} from '../generated/packet.js';
 import {Metric, type Counters} from '../ports/counters.js';
 import {Fabric, type FabricPacket} from '../ports/fabric.js';
 import {bindUdp} from './udp-socket.js';
 
-const HIGHEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-/** Reads a packet's header; undefined when the bytes are no well-formed packet. */
+/** Decodes the header of a packet; undefined when it is malformed. */
 export function decodePacket(bytes: Uint8Array): PacketHeader | undefined {
   try {
     const packet = PacketHeader.decode(bytes);
@@ -19,8 +19,8 @@
 
 function isWellFormed(packet: PacketHeader): boolean {
   return (
-    packet.sourcePort <= HIGHEST_PORT &&
-    packet.destinationPort <= HIGHEST_PORT &&
+    packet.sourcePort <= MAX_PORT &&
+    packet.destinationPort <= MAX_PORT &&
     packet.destinationPort > 0 &&
     packet.kind <= PacketKind.CLOSE
   );
@@ -35,7 +35,7 @@
     super();
   }
 
-  /** Opens the socket at "ip:port". */
+  /** Binds a socket at "ip:port". */
   static async create(address: string, counters: Counters): Promise<UdpFabric> {
     return new UdpFabric(await bindUdp(address), counters);
   }
--- a/src/adapters/udp-socket.ts
+++ b/src/adapters/udp-socket.ts
@@ -1,12 +1,11 @@
-/** UDP sockets with the buffer sizes that bursts of packets need. */
+/** UDP sockets with buffers large enough for bursts of packets. */
 import dgram from 'node:dgram';
 
-const BUFFER_BYTES = 4 * 1_024 * 1_024;
+const SOCKET_BUFFER_BYTES = 4 * 1_024 * 1_024;
 
 /**
- * Opens a socket bound to "ip:port"; port 0 takes any. `onFailure` is told of
- * datagrams that could not be sent, a closed port at the other end included; the
- * datagram is lost, as one in the network may be.
+ * Opens a socket bound to "ip:port"; port 0 takes any free port. `onFailure` is called for
+ * datagrams that could not be sent, including those to a closed port; they are lost.
  */
 export function bindUdp(
   address: string,
@@ -15,9 +14,9 @@
   const [host, port] = address.split(':');
   const socket = dgram.createSocket({
     type: 'udp4',
-    recvBufferSize: BUFFER_BYTES,
-    sendBufferSize: BUFFER_BYTES,
-    // Every address here is an IP number, so no name is ever looked up.
+    recvBufferSize: SOCKET_BUFFER_BYTES,
+    sendBufferSize: SOCKET_BUFFER_BYTES,
+    // Addresses are always numeric, so DNS is skipped.
     lookup: (name, _options, callback) => callback(null, name, 4),
   });
   return new Promise((resolve, reject) => {
@@ -30,7 +29,7 @@
   });
 }
 
-/** Sends to "ip:port". */
+/** Sends a datagram to "ip:port". */
 export function sendUdp(
   socket: dgram.Socket,
   address: string,
--- a/src/adapters/winston-log.ts
+++ b/src/adapters/winston-log.ts
@@ -1,14 +1,14 @@
-/** JSON log lines on standard error by winston. */
+/** JSON log lines on standard error, written by winston. */
 import winston from 'winston';
 import {Log, type LogFields} from '../ports/log.js';
 
-/** Log over a winston logger. */
+/** Log that writes to a winston logger. */
 export class WinstonLog extends Log {
   private constructor(private readonly logger: winston.Logger) {
     super();
   }
 
-  /** Creates a log whose lines carry the process's name. */
+  /** Creates a log; every line carries the process name. */
   static create(process: string, level: string): WinstonLog {
     const logger = winston.createLogger({
       level,
--- a/src/adapters/xxhash-hasher.ts
+++ b/src/adapters/xxhash-hasher.ts
@@ -1,16 +1,16 @@
-/** Hashes by xxHash (32 bits) in WebAssembly. */
+/** xxHash (32 bits) in WebAssembly. */
 import xxhash from 'xxhash-wasm';
 import {Hasher} from '../ports/hasher.js';
 
 type Library = Awaited<ReturnType<typeof xxhash>>;
 
-/** Hasher over the xxhash-wasm library. */
+/** Hasher that uses the xxhash-wasm library. */
 export class XxhashHasher extends Hasher {
   private constructor(private readonly library: Library) {
     super();
   }
 
-  /** Loads the library and creates the hasher. */
+  /** Compiles the library and creates a hasher. */
   static async create(): Promise<XxhashHasher> {
     return new XxhashHasher(await xxhash());
   }
