--- a/src/daemon/control-server.ts
+++ b/src/daemon/control-server.ts
@@ -1,4 +1,4 @@
-/** Calls of callers and of the command line to a daemon. */
+/** gRPC servers of a daemon: requests from callers, and control calls from the command line. */
 import {Server, ServerCredentials} from '@grpc/grpc-js';
 import {CHANNEL_OPTIONS, bindServer} from '../adapters/grpc-call.js';
 import {
@@ -14,9 +14,9 @@
 } from '../generated/request.js';
 import type {Timeline} from '../ports/timeline.js';
 
-const LONGEST_TIMELINE = 10_000;
+const MAX_TIMELINE_EVENTS = 10_000;
 
-/** Starts the server that callers send requests to. */
+/** Starts the server that accepts requests from callers. */
 export async function createRequestServer(
   address: string,
   handle: (request: CallerRequest) => Promise<CallerReply>,
@@ -34,7 +34,7 @@
   return server;
 }
 
-/** Starts the server that the command line asks. */
+/** Starts the server that reports status and timeline to the command line. */
 export async function createControlServer(
   address: string,
   status: () => StatusReply,
@@ -43,7 +43,7 @@
   const service: ControlServer = {
     status: (_call, callback) => callback(null, status()),
     timeline: (call, callback) => {
-      const limit = call.request.limit || LONGEST_TIMELINE;
+      const limit = call.request.limit || MAX_TIMELINE_EVENTS;
       const events = timeline.recent(limit).map(record => ({
         process: record.process,
         physicalMs: record.stamp.physicalMs,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,4 +1,4 @@
-/** The daemon: all parts put together from settings. */
+/** The daemon process: creates all components from settings, joins and leaves the fleet. */
 import type {Server} from '@grpc/grpc-js';
 import {DaemonPeers, type PeerSecurity} from '../adapters/daemon-peers.js';
 import {GrpcBackendServers} from '../adapters/grpc-backend-servers.js';
@@ -49,12 +49,12 @@
 
 const RETRY_MS = 500;
 const POOL_INTERVAL_MS = 500;
-/** Time a planned stop takes at the most, in milliseconds. */
-const LONGEST_STOP_MS = 30_000;
-/** Silence of the fabric after which a leaving daemon may exit. */
-const FABRIC_SILENCE_MS = 1_000;
-const STOP_POLL_MS = 100;
-const HANDOVER_MS = 10_000;
+/** Time limit of a graceful stop. */
+const STOP_TIMEOUT_MS = 30_000;
+/** Time without fabric packets after which a leaving daemon may exit. */
+const FABRIC_IDLE_MS = 1_000;
+const STOP_POLL_INTERVAL_MS = 100;
+const HANDOVER_TIMEOUT_MS = 10_000;
 
 /** A running daemon. */
 export class Daemon {
@@ -99,7 +99,7 @@
     this.pools = Pools.create({...common, retryShare: requests['retry-share']});
     this.coordinator = FlowCoordinator.create({
       ...common,
-      self: this.ownMember(),
+      self: this.createOwnMember(),
       timeline: this.timeline,
       peers,
       read: bundle => this.readRevision(bundle),
@@ -113,9 +113,9 @@
       clock: this.clock,
       view: {
         self: runOf(this.coordinator.members.self),
-        ownerOf: range => this.rangeOwner(range),
-        backupsOf: range => this.rangeBackups(range),
-        addressOf: run => this.addressOfRun(run),
+        ownerOf: range => this.findRangeOwner(range),
+        backupsOf: range => this.listRangeBackups(range),
+        addressOf: run => this.findAddressOfRun(run),
       },
     });
     this.entry = RequestEntry.create({
@@ -123,12 +123,13 @@
       timeline: this.timeline,
       peers,
       guard: LeasedKeyGuard.create(this.ranges, hasher, this.clock),
-      findService: (workspace, service) => this.pools.find(workspace, service),
-      dispatcherOf: service => this.pools.dispatcherOf(service),
-      ownerOf: key => this.keyOwner(key),
+      findService: (workspace, service) =>
+        this.pools.findService(workspace, service),
+      dispatcherOf: service => this.pools.getDispatcher(service),
+      ownerOf: key => this.findKeyOwner(key),
     });
     this.tasks = PlatformTasks.create({
-      self: this.listed(InstanceState.LIVE),
+      self: this.createListEntry(InstanceState.LIVE),
       clock: this.clock,
       hasher,
       counters,
@@ -139,7 +140,7 @@
     });
   }
 
-  /** Opens the sockets of a daemon; `run` does the rest. */
+  /** Creates a daemon and binds its sockets; `run` starts it. */
   static async create(
     settings: ProcessSettings,
     security: PeerSecurity,
@@ -167,7 +168,7 @@
     );
   }
 
-  /** Joins the fleet; resolves when the daemon owns its part. */
+  /** Starts all tasks and joins the fleet; resolves when the daemon owns its partitions. */
   async run(): Promise<void> {
     this.timeline.record(EventKind.STARTED, {});
     await this.peers.serve({
@@ -180,7 +181,7 @@
     await this.startServers();
     this.startTasks();
     this.fabric.onPacket(packet => this.onPacket(packet));
-    const addresses = await this.readListUntilItAnswers();
+    const addresses = await this.readListWithRetries();
     await this.coordinator.join(addresses);
     await this.announce(InstanceState.LIVE);
     this.log.info('ready', {
@@ -188,17 +189,17 @@
     });
   }
 
-  /** Leaves the fleet without cutting anything off, then stops. */
+  /** Leaves the fleet, drains flows and requests up to a deadline, then stops. */
   async stop(): Promise<void> {
-    const deadline = this.clock.now() + LONGEST_STOP_MS;
+    const deadline = this.clock.now() + STOP_TIMEOUT_MS;
     this.timeline.record(EventKind.STOPPING, {});
     this.log.info('stopping');
     this.streams.forEach(stream => stream.stopAccepting());
     await this.announce(InstanceState.LEAVING);
     const confirmed = await this.coordinator.leave(
-      this.clock.now() + HANDOVER_MS,
+      this.clock.now() + HANDOVER_TIMEOUT_MS,
     );
-    await this.waitForQuiet(deadline);
+    await this.waitUntilIdle(deadline);
     this.entry.stop();
     await this.waitForRequests(deadline);
     await this.ranges.releaseAll(deadline);
@@ -215,7 +216,8 @@
       clock: this.clock,
       backends: this.backends,
       random: Math.random,
-      findService: (workspace, service) => this.pools.find(workspace, service),
+      findService: (workspace, service) =>
+        this.pools.findService(workspace, service),
     });
     const handler =
       this.settings.requests.policy === 'naive' ? naive : this.entry;
@@ -228,7 +230,7 @@
         StreamEntry.create({
           ...stream,
           counters: this.counters,
-          findService: address => this.pools.findByAddress(address),
+          findService: address => this.pools.findServiceByAddress(address),
           marks: () => this.coordinator.replicatedState.marks,
         }),
       ),
@@ -239,7 +241,7 @@
     const watcher = Watcher.create({
       store: this.store,
       clock: this.clock,
-      isWatching: () => this.tasks.isWatching(),
+      isWatching: () => this.tasks.isWatcher(),
       onValue: value => this.onDocument(value),
       onLost: cause => {
         this.log.warn('store-lost', {cause});
@@ -261,14 +263,14 @@
     );
   }
 
-  private async readListUntilItAnswers(): Promise<string[]> {
+  private async readListWithRetries(): Promise<string[]> {
     const addresses = await this.tasks.readList();
     if (addresses !== undefined) {
       return addresses;
     }
     this.log.warn('instance-list-lost');
     await this.pause();
-    return this.readListUntilItAnswers();
+    return this.readListWithRetries();
   }
 
   private onPacket(packet: FabricPacket): void {
@@ -301,13 +303,13 @@
     );
   }
 
-  /** Reads a revision that came from the store or from a peer. */
+  /** Compiles a revision from the store or a peer; undefined when it is unreadable. */
   private readRevision(bundle: RevisionBundle): RoutingRevision | undefined {
     return decodeDocument(bundle.document)
       .andThen(document => compileDocument(document))
       .match(
         ({routing, services}) => {
-          this.pools.useServices(services);
+          this.pools.setServices(services);
           this.log.info('revision-staged', {revision: bundle.revision});
           queueMicrotask(() => this.updatePools());
           return routing;
@@ -320,23 +322,23 @@
   }
 
   private updatePools(): void {
-    const {replicatedState: knowledge, members} = this.coordinator;
+    const {replicatedState, members} = this.coordinator;
     const owners = members.owners().map(({id}) => id);
-    this.pools.useServers(knowledge.marks, owners);
-    // Building its tables costs more than all else here at rest.
+    this.pools.updateServers(replicatedState.marks, owners);
+    // Building lookup tables is expensive, so only when the policy uses them.
     if (this.settings.routing.policy === 'naive') {
-      this.naiveRouter.stage(knowledge.staged, knowledge.marks);
+      this.naiveRouter.stage(replicatedState.staged, replicatedState.marks);
     }
   }
 
-  private rangeOwner(range: number): string | undefined {
+  private findRangeOwner(range: number): string | undefined {
     const owner = this.coordinator.currentOwnership.ownerOf(range);
     const member = owner && this.coordinator.members.get(owner);
     return member ? runOf(member) : undefined;
   }
 
-  /** The partition's backup first, then everyone else. */
-  private rangeBackups(range: number): string[] {
+  /** Lists the runs that can back up a range, the backup of its partition first. */
+  private listRangeBackups(range: number): string[] {
     const {members, currentOwnership} = this.coordinator;
     const first = currentOwnership.backupOf(range);
     const others = members
@@ -349,13 +351,13 @@
     ].map(runOf);
   }
 
-  private addressOfRun(run: string): string | undefined {
+  private findAddressOfRun(run: string): string | undefined {
     return this.coordinator.members
       .others()
       .find(member => runOf(member) === run && handlesPackets(member))?.address;
   }
 
-  private keyOwner(key: string): KeyOwner {
+  private findKeyOwner(key: string): KeyOwner {
     const {members, currentOwnership} = this.coordinator;
     const owner = currentOwnership.ownerOf(rangeOf(key, this.hasher));
     const isSelf = owner === undefined || owner === members.self.id;
@@ -363,13 +365,13 @@
   }
 
   private status(): StatusReply {
-    const {replicatedState: knowledge, members, router} = this.coordinator;
+    const {replicatedState, members, router} = this.coordinator;
     return {
       id: members.self.id,
       failureDomain: members.self.failureDomain,
       state: MEMBER_STATE_NAMES[members.self.state],
-      revision: knowledge.active,
-      stagedRevision: knowledge.staged.revision,
+      revision: replicatedState.active,
+      stagedRevision: replicatedState.staged.revision,
       members: members.owners().length,
       exceptions: router.flows.sizeOf(EntryKind.HELD),
       cached: router.flows.sizeOf(EntryKind.CACHED),
@@ -380,25 +382,25 @@
     };
   }
 
-  /** Waits until the fabric sends no more and streams have ended. */
-  private async waitForQuiet(deadline: number): Promise<void> {
-    const quiet = () =>
-      this.clock.now() - this.lastPacketMs > FABRIC_SILENCE_MS &&
+  /** Waits until the fabric is idle and all streams are closed. */
+  private async waitUntilIdle(deadline: number): Promise<void> {
+    const isIdle = () =>
+      this.clock.now() - this.lastPacketMs > FABRIC_IDLE_MS &&
       this.streams.every(stream => stream.connections === 0);
-    while (!quiet() && this.clock.now() < deadline) {
-      await this.pause(STOP_POLL_MS);
+    while (!isIdle() && this.clock.now() < deadline) {
+      await this.pause(STOP_POLL_INTERVAL_MS);
     }
   }
 
   private async waitForRequests(deadline: number): Promise<void> {
     while (this.entry.count > 0 && this.clock.now() < deadline) {
-      await this.pause(STOP_POLL_MS);
+      await this.pause(STOP_POLL_INTERVAL_MS);
     }
   }
 
   private async close(): Promise<void> {
     this.coordinator.stop();
-    await this.pause(STOP_POLL_MS);
+    await this.pause(STOP_POLL_INTERVAL_MS);
     this.cleanups.forEach(cleanup => cleanup());
     this.streams.forEach(stream => stream.close());
     const deadline = this.clock.now() + RETRY_MS;
@@ -413,13 +415,13 @@
   }
 
   private async announce(state: InstanceState): Promise<void> {
-    const result = await this.list.announce(this.listed(state));
+    const result = await this.list.announce(this.createListEntry(state));
     if (result.isErr()) {
       this.log.warn('announce-failed', {cause: result.error.message, state});
     }
   }
 
-  private listed(state: InstanceState): ListedInstance {
+  private createListEntry(state: InstanceState): ListedInstance {
     const {daemon, listen} = this.settings;
     return {
       id: daemon.id,
@@ -433,7 +435,7 @@
     };
   }
 
-  private ownMember(): Member {
+  private createOwnMember(): Member {
     const {daemon, listen} = this.settings;
     return {
       id: daemon.id,
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon's program. Exit codes: 0 stopped, 1 failed, 2 wrong use. */
+/** Entry point of the daemon. Exit codes: 0 stopped, 1 failed, 2 usage error. */
 import {readFileSync} from 'node:fs';
 import {cac} from 'cac';
 import {loadPeerSecurity} from '../adapters/peer-security.js';
@@ -10,15 +10,15 @@
 import {Daemon} from './daemon.js';
 
 const EXIT_FAILED = 1;
-const EXIT_WRONG_USE = 2;
+const EXIT_USAGE = 2;
 
-/** Prints a message and exits. */
+/** Prints a message to standard error and exits. */
 function fail(message: string, code: number): never {
   process.stderr.write(`${message}\n`);
   process.exit(code);
 }
 
-/** Reads the settings and runs the daemon until it is told to stop. */
+/** Reads the settings and runs the daemon until SIGTERM or SIGINT. */
 async function runDaemon(file: string): Promise<void> {
   const text = readText(file);
   const settings = readIniFile({file, text}, processSettingsSchema);
@@ -60,7 +60,7 @@
 const config: unknown = parsed.options['config'];
 if (parsed.options['help'] !== true && parsed.options['version'] !== true) {
   if (typeof config !== 'string') {
-    fail('weldyardd: name the settings with --config FILE', EXIT_WRONG_USE);
+    fail('weldyardd: --config FILE is required', EXIT_USAGE);
   }
   runDaemon(config).catch(error => fail(String(error), EXIT_FAILED));
 }
--- a/src/daemon/platform-tasks.ts
+++ b/src/daemon/platform-tasks.ts
@@ -1,4 +1,4 @@
-/** Tasks towards the platform: reading the instance list, probing servers. */
+/** Periodic tasks of a daemon: reads the instance list and probes backend servers. */
 import type {Service} from '../configuration/services.js';
 import type {ServerMark} from '../generated/peer.js';
 import type {BackendServers} from '../ports/backend-servers.js';
@@ -15,20 +15,22 @@
 import {MarkKind, MarkState} from '../routing/server-marks.js';
 
 const LIST_INTERVAL_MS = 500;
-const HEALTH_INTERVAL_MS = 2_000;
-const HEALTH_TIMEOUT_MS = 1_000;
-/** Failed probes in a row after which a server counts as down. */
+const PROBE_INTERVAL_MS = 2_000;
+const PROBE_TIMEOUT_MS = 1_000;
+/** Consecutive failed probes after which a server counts as down. */
 const FAILURES_BEFORE_DOWN = 3;
-/** Daemons a failure domain that read the list and watch the store. */
-const WATCHERS_A_DOMAIN = 2;
+/** Daemons per failure domain that read the list and watch the store. */
+const WATCHERS_PER_DOMAIN = 2;
 /** Share of the connection limit at which a server counts as full. */
 const FULL_SHARE = 0.98;
-/** Share below which it counts as free again. */
-const FREE_SHARE = 0.95;
-const PROBERS = [MarkKind.FIRST_PROBER, MarkKind.SECOND_PROBER] as const;
-const WATCHER_SEED = 31;
+/** Share of the connection limit below which a full server counts as live again. */
+const NOT_FULL_SHARE = 0.95;
+const PROBER_MARK_KINDS = [
+  MarkKind.FIRST_PROBER,
+  MarkKind.SECOND_PROBER,
+] as const;
+const WATCHER_HASH_SEED = 31;
 
-/** What the tasks are made from. */
 export interface PlatformTasksOptions {
   readonly self: ListedInstance;
   readonly clock: Clock;
@@ -37,18 +39,18 @@
   readonly list: InstanceList;
   readonly backends: BackendServers;
   readonly coordinator: FlowCoordinator;
-  /** The services in force. */
+  /** Returns the services of the newest revision. */
   services(): readonly Service[];
 }
 
-/** Reads the list and probes servers, as far as it is this daemon's turn. */
+/** Runs those tasks that the hash ranking of daemons assigns to this one. */
 export class PlatformTasks {
   private readonly failures = new Map<string, number>();
   private stopped = false;
 
   private constructor(private readonly options: PlatformTasksOptions) {}
 
-  /** Creates tasks that are not started. */
+  /** Creates the tasks; `start` runs them. */
   static create(options: PlatformTasksOptions): PlatformTasks {
     return new PlatformTasks(options);
   }
@@ -57,8 +59,8 @@
   start(): () => void {
     const {clock} = this.options;
     const stops = [
-      this.every(clock, LIST_INTERVAL_MS, () => this.readIfWatching()),
-      this.every(clock, HEALTH_INTERVAL_MS, () => this.probeServers()),
+      this.repeat(clock, LIST_INTERVAL_MS, () => this.readListIfWatcher()),
+      this.repeat(clock, PROBE_INTERVAL_MS, () => this.probeServers()),
     ];
     return () => {
       this.stopped = true;
@@ -66,26 +68,29 @@
     };
   }
 
-  /** Whether this daemon is one of its failure domain's watchers. */
-  isWatching(): boolean {
+  /** Whether this daemon is one of the watchers of its failure domain. */
+  isWatcher(): boolean {
     const {coordinator, hasher} = this.options;
     const {self} = coordinator.members;
     const others = coordinator.members
       .owners()
       .filter(member => member.failureDomain === self.failureDomain)
       .filter(member => member.id !== self.id);
-    const rank = (id: string) => hasher.hashText(id, WATCHER_SEED);
-    const better = others.filter(({id}) => rank(id) > rank(self.id));
-    return better.length < WATCHERS_A_DOMAIN;
+    const rank = (id: string) => hasher.hashText(id, WATCHER_HASH_SEED);
+    const higherRanked = others.filter(({id}) => rank(id) > rank(self.id));
+    return higherRanked.length < WATCHERS_PER_DOMAIN;
   }
 
-  /** Reads the list; returns the addresses of other daemons in it. */
+  /**
+   * Reads the instance list. Returns the addresses of the other live daemons, or undefined
+   * when the list is unavailable.
+   */
   async readList(): Promise<string[] | undefined> {
     const result = await this.options.list.list();
     return result.match(
       listing => {
-        this.takeDaemons(listing.instances);
-        this.takeServers(listing.instances);
+        this.seedMembers(listing.instances);
+        this.publishServerMarks(listing.instances);
         return listing.instances
           .filter(instance => this.isOtherDaemon(instance))
           .map(({address}) => address);
@@ -94,8 +99,8 @@
     );
   }
 
-  private async readIfWatching(): Promise<void> {
-    if (this.isWatching()) {
+  private async readListIfWatcher(): Promise<void> {
+    if (this.isWatcher()) {
       await this.readList();
     }
   }
@@ -108,7 +113,7 @@
     );
   }
 
-  private takeDaemons(instances: readonly ListedInstance[]): void {
+  private seedMembers(instances: readonly ListedInstance[]): void {
     const {members} = this.options.coordinator;
     instances
       .filter(instance => this.isOtherDaemon(instance))
@@ -117,35 +122,38 @@
       );
   }
 
-  /** Marks of backend servers; those without a change are not news. */
-  private takeServers(instances: readonly ListedInstance[]): void {
+  /** Publishes marks of listed backend servers, except live ones that have no mark yet. */
+  private publishServerMarks(instances: readonly ListedInstance[]): void {
     const {coordinator} = this.options;
     const marks = instances
       .filter(instance => instance.role === InstanceRole.BACKEND)
-      .filter(instance => this.isWorthAMark(instance))
-      .map(instance => this.markOf(instance));
+      .filter(instance => this.needsMark(instance))
+      .map(instance => this.createMark(instance));
     coordinator.learn(marks.map(mark => ({mark, revision: undefined})));
   }
 
-  private isWorthAMark(instance: ListedInstance): boolean {
+  private needsMark(instance: ListedInstance): boolean {
     const {marks} = this.options.coordinator.replicatedState;
     const known = marks.markOf(instance.id, MarkKind.PLATFORM);
     return instance.state !== InstanceState.LIVE || known !== undefined;
   }
 
-  private markOf(instance: ListedInstance): ServerMark {
+  private createMark(instance: ListedInstance): ServerMark {
     const live = instance.state === InstanceState.LIVE;
     return {
       server: instance.id,
       state: instance.state,
       version: instance.version,
       kind: MarkKind.PLATFORM,
-      disturbedUntilMs: live ? 0 : this.disturbedUntil(instance.id),
+      disturbedUntilMs: live ? 0 : this.computeDisturbedUntil(instance.id),
     };
   }
 
-  /** Flows placed elsewhere meanwhile last for their service's lifetime. */
-  private disturbedUntil(server: string): number {
+  /**
+   * Returns when flows that are placed elsewhere while the server is unavailable have ended,
+   * in wall milliseconds: after the longest flow lifetime of its services.
+   */
+  private computeDisturbedUntil(server: string): number {
     const {clock, services} = this.options;
     const lifetimes = services()
       .filter(service => service.servers.some(({id}) => id === server))
@@ -153,7 +161,7 @@
     return Math.ceil(clock.wall() + Math.max(0, ...lifetimes));
   }
 
-  /** Probes the servers that this daemon is a prober of. */
+  /** Probes the servers that this daemon is responsible for. */
   private async probeServers(): Promise<void> {
     const {services} = this.options;
     const limits = new Map(
@@ -163,15 +171,15 @@
     );
     await Promise.all(
       [...limits].flatMap(([server, limit]) => {
-        const rank = this.proberRank(server);
-        const kind = PROBERS[rank];
+        const rank = this.rankAsProber(server);
+        const kind = PROBER_MARK_KINDS[rank];
         return kind === undefined ? [] : [this.probe(server, limit, kind)];
       }),
     );
   }
 
-  /** This daemon's place among the probers of a server. */
-  private proberRank(server: string): number {
+  /** Returns the rank of this daemon among the probers of a server, from 0. */
+  private rankAsProber(server: string): number {
     const {coordinator, hasher} = this.options;
     const {self} = coordinator.members;
     const score = (id: string) => hasher.hashText(`${server}/${id}`, 0);
@@ -187,20 +195,20 @@
     kind: MarkKind,
   ): Promise<void> {
     const {backends, clock} = this.options;
-    const deadline = clock.now() + HEALTH_TIMEOUT_MS;
+    const deadline = clock.now() + PROBE_TIMEOUT_MS;
     this.options.counters.add(Metric.HEALTH_PROBES);
     const result = await backends.health(server, deadline);
     const failures = result.isOk() ? 0 : (this.failures.get(server) ?? 0) + 1;
     this.failures.set(server, failures);
-    const state = this.stateOf(server, kind, limit, failures);
+    const state = this.decideState(server, kind, limit, failures);
     const {marks} = this.options.coordinator.replicatedState;
     const known = marks.markOf(server, kind)?.state ?? MarkState.LIVE;
     if (state !== known && !this.stopped) {
-      this.publish(server, kind, state);
+      this.publishMark(server, kind, state);
     }
   }
 
-  private stateOf(
+  private decideState(
     server: string,
     kind: MarkKind,
     limit: number,
@@ -212,12 +220,12 @@
       return MarkState.DOWN;
     }
     const wasFull = marks.markOf(server, kind)?.state === MarkState.FULL;
-    const share = wasFull ? FREE_SHARE : FULL_SHARE;
+    const share = wasFull ? NOT_FULL_SHARE : FULL_SHARE;
     const flows = coordinator.router.flowCounts.estimate(server, 1);
     return flows >= limit * share ? MarkState.FULL : MarkState.LIVE;
   }
 
-  private publish(server: string, kind: MarkKind, state: MarkState): void {
+  private publishMark(server: string, kind: MarkKind, state: MarkState): void {
     const {clock, coordinator} = this.options;
     const mark: ServerMark = {
       server,
@@ -225,13 +233,13 @@
       kind,
       version: clock.wall(),
       disturbedUntilMs:
-        state === MarkState.LIVE ? 0 : this.disturbedUntil(server),
+        state === MarkState.LIVE ? 0 : this.computeDisturbedUntil(server),
     };
     coordinator.learn([{mark, revision: undefined}]);
   }
 
-  /** Runs a task again and again, never twice at once. */
-  private every(
+  /** Runs a task periodically, the interval after its last run; returns a stop function. */
+  private repeat(
     clock: Clock,
     intervalMs: number,
     task: () => Promise<void>,
--- a/src/daemon/pools.ts
+++ b/src/daemon/pools.ts
@@ -1,4 +1,4 @@
-/** Services in force and the dispatcher of each pool of servers. */
+/** The current services, and one dispatcher for each pool of servers. */
 import {Dispatcher} from '../admission/dispatcher.js';
 import type {Service} from '../configuration/services.js';
 import type {BackendServers} from '../ports/backend-servers.js';
@@ -7,18 +7,17 @@
 import type {Hasher} from '../ports/hasher.js';
 import type {ServerMarks} from '../routing/server-marks.js';
 
-/** What pools are made from. */
 export interface PoolsOptions {
   readonly self: string;
   readonly clock: Clock;
   readonly hasher: Hasher;
   readonly counters: Counters;
   readonly backends: BackendServers;
-  /** Repeats as a share of first tries. */
+  /** Maximum ratio of retries to first attempts. */
   readonly retryShare: number;
 }
 
-/** The services of the newest revision and their dispatchers. */
+/** Tracks the services of the newest revision and their dispatchers. */
 export class Pools {
   private readonly dispatchers = new Map<string, Dispatcher>();
   private services: readonly Service[] = [];
@@ -31,12 +30,11 @@
     return new Pools(options);
   }
 
-  /** All services. */
   get all(): readonly Service[] {
     return this.services;
   }
 
-  /** Requests waiting or at servers. */
+  /** Requests that are queued or being processed by servers. */
   get inFlight(): number {
     return [...this.dispatchers.values()].reduce(
       (sum, dispatcher) => sum + dispatcher.inFlight,
@@ -44,8 +42,8 @@
     );
   }
 
-  /** Takes the services of a revision. */
-  useServices(services: readonly Service[]): void {
+  /** Replaces the services by those of a new revision. */
+  setServices(services: readonly Service[]): void {
     this.services = services;
     this.byName = new Map(
       services.map(service => [
@@ -55,8 +53,8 @@
     );
   }
 
-  /** Takes the state of servers and the daemons that share their slots. */
-  useServers(marks: ServerMarks, daemons: readonly string[]): void {
+  /** Updates the eligible servers, and the daemons that share their slots. */
+  updateServers(marks: ServerMarks, daemons: readonly string[]): void {
     const pools = new Map(
       this.services.map(service => [service.pool, service]),
     );
@@ -64,22 +62,22 @@
       const servers = service.servers
         .filter(({id}) => marks.isEligible(id))
         .map(({id}) => ({id, slots: service.slots}));
-      this.dispatcherOf(service).useServers(servers, daemons);
+      this.getDispatcher(service).useServers(servers, daemons);
     });
   }
 
-  /** A service by the names that callers use. */
-  find(workspace: string, service: string): Service | undefined {
+  /** Returns the service with a workspace and name; undefined when there is none. */
+  findService(workspace: string, service: string): Service | undefined {
     return this.byName.get(`${workspace}/${service}`);
   }
 
-  /** The service at an address ("ip:port"). */
-  findByAddress(address: string): Service | undefined {
+  /** Returns the service at "ip:port"; undefined when there is none. */
+  findServiceByAddress(address: string): Service | undefined {
     return this.services.find(service => service.address === address);
   }
 
-  /** The dispatcher of a service's pool. */
-  dispatcherOf(service: Service): Dispatcher {
+  /** Returns the dispatcher of a service's pool, created on first use. */
+  getDispatcher(service: Service): Dispatcher {
     const known = this.dispatchers.get(service.pool);
     if (known !== undefined) {
       return known;
--- a/src/daemon/stream-entry.ts
+++ b/src/daemon/stream-entry.ts
@@ -1,38 +1,37 @@
-/** Entry of streams: TCP connections carried to a backend server. */
+/** TCP proxy: forwards accepted connections to a backend server. */
 import net from 'node:net';
 import type {Service} from '../configuration/services.js';
 import {Metric, type Counters} from '../ports/counters.js';
 import type {ServerMarks} from '../routing/server-marks.js';
 
-const CONNECT_TRIES = 3;
+const MAX_CONNECT_ATTEMPTS = 3;
 
-/** What the entry is made from. */
 export interface StreamEntryOptions {
-  /** "ip:port" to accept at. */
+  /** "ip:port" to listen at. */
   readonly listen: string;
   /** "ip:port" of the service. */
   readonly address: string;
   readonly counters: Counters;
   findService(address: string): Service | undefined;
-  /** Marks that are active. */
+  /** Returns the active marks of servers. */
   marks(): ServerMarks;
 }
 
-/** Accepts connections of one service; each is carried by a task of its own. */
+/** Accepts the connections of one service and proxies each to the least-loaded server. */
 export class StreamEntry {
   private readonly server: net.Server;
-  private readonly open = new Map<string, number>();
+  private readonly connectionsByServer = new Map<string, number>();
   private readonly sockets = new Set<net.Socket>();
 
   private constructor(private readonly options: StreamEntryOptions) {
-    // A side that has sent all it has may still receive.
+    // A side that has finished sending can still receive.
     this.server = net.createServer(
       {allowHalfOpen: true},
-      socket => void this.carry(socket),
+      socket => void this.proxy(socket),
     );
   }
 
-  /** Starts to accept. */
+  /** Starts to accept connections; resolves when listening. */
   static create(options: StreamEntryOptions): Promise<StreamEntry> {
     const entry = new StreamEntry(options);
     const [host, port] = options.listen.split(':');
@@ -42,27 +41,27 @@
     });
   }
 
-  /** Connections that are open. */
+  /** Number of open connections from callers. */
   get connections(): number {
     return this.sockets.size;
   }
 
-  /** Accepts no more; open connections go on. */
+  /** Stops accepting; open connections continue. */
   stopAccepting(): void {
     this.server.close();
   }
 
-  /** Cuts the connections that are still open. */
+  /** Destroys all open connections. */
   close(): void {
     this.sockets.forEach(socket => socket.destroy());
   }
 
-  private async carry(caller: net.Socket): Promise<void> {
+  private async proxy(caller: net.Socket): Promise<void> {
     const {counters} = this.options;
     this.sockets.add(caller);
     caller.on('close', () => this.sockets.delete(caller));
     caller.on('error', () => caller.destroy());
-    const connected = await this.connect(CONNECT_TRIES, new Set());
+    const connected = await this.connect(MAX_CONNECT_ATTEMPTS, new Set());
     if (connected === undefined) {
       counters.add(Metric.STREAMS_REFUSED);
       caller.destroy();
@@ -72,9 +71,12 @@
     this.splice(caller, connected.socket, connected.server);
   }
 
-  /** Connects to the server with the fewest connections from here. */
+  /**
+   * Connects to the eligible server with the fewest connections from this daemon. Returns
+   * undefined when no server is left or all attempts failed.
+   */
   private async connect(
-    tries: number,
+    attemptsLeft: number,
     excluded: ReadonlySet<string>,
   ): Promise<{socket: net.Socket; server: string} | undefined> {
     const service = this.options.findService(this.options.address);
@@ -82,15 +84,15 @@
     const servers = (service?.servers ?? [])
       .map(({id}) => id)
       .filter(id => marks.isEligible(id) && !excluded.has(id));
-    if (tries === 0 || servers.length === 0) {
+    if (attemptsLeft === 0 || servers.length === 0) {
       return undefined;
     }
     const server = servers.reduce((best, id) =>
-      this.countOf(id) < this.countOf(best) ? id : best,
+      this.countConnections(id) < this.countConnections(best) ? id : best,
     );
     const socket = await connectTo(server);
     return socket === undefined
-      ? this.connect(tries - 1, new Set([...excluded, server]))
+      ? this.connect(attemptsLeft - 1, new Set([...excluded, server]))
       : {socket, server};
   }
 
@@ -99,23 +101,26 @@
     backend: net.Socket,
     server: string,
   ): void {
-    this.open.set(server, this.countOf(server) + 1);
+    this.connectionsByServer.set(server, this.countConnections(server) + 1);
     caller.pipe(backend);
     backend.pipe(caller);
     caller.on('close', () => backend.destroy());
     backend.on('error', () => caller.destroy());
     backend.on('close', () => {
-      this.open.set(server, this.countOf(server) - 1);
+      this.connectionsByServer.set(server, this.countConnections(server) - 1);
       caller.destroySoon();
     });
   }
 
-  private countOf(server: string): number {
-    return this.open.get(server) ?? 0;
+  private countConnections(server: string): number {
+    return this.connectionsByServer.get(server) ?? 0;
   }
 }
 
-/** Streams are taken at the port above the server's packet port. */
+/**
+ * Connects to a server, which accepts streams at the port above its packet port; undefined
+ * when the connection fails.
+ */
 function connectTo(server: string): Promise<net.Socket | undefined> {
   const [host, port] = server.split(':');
   return new Promise(resolve => {
