--- a/src/cli/cause-table.spec.ts
+++ b/src/cli/cause-table.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {TimelineEvent} from '../generated/peer.js';
-import {causeRows, countCauses} from './cause-table.js';
+import {formatCauseRows, countCauses} from './cause-table.js';
 
 function eventOf(
   physicalMs: number,
@@ -12,7 +12,7 @@
   return {process: 'd1', kind, physicalMs, logical: 0, detailJson};
 }
 
-test('causes are counted by span, spans without a line included', () => {
+test('causes are counted by span, empty spans included', () => {
   const refused = {reason: 'unknown-cookie', outcome: 'drop'};
   const spans = countCauses(
     [
@@ -41,7 +41,7 @@
       },
     },
   ]);
-  const [heading, , silent] = causeRows(spans);
+  const [heading, , silent] = formatCauseRows(spans);
   assert.equal(heading.length, 6);
   assert.deepEqual(silent, ['1970-01-01T00:00:04.000Z', '', '', '', '', '']);
   assert.deepEqual(countCauses([], 1_000), []);
--- a/src/cli/cause-table.ts
+++ b/src/cli/cause-table.ts
@@ -1,20 +1,19 @@
-/**
- * What happened to callers over time, by cause, as the log lines of all daemons tell
- * it: the first look at a day on which requests failed.
- */
+/** Counts events in the logs of all daemons by cause and time span, for `weldyard causes`. */
 import type {TimelineEvent} from '../generated/peer.js';
-import {detailsOf, type Details} from './process-logs.js';
+import {parseDetails, type EventDetails} from './process-logs.js';
 
-/** Counts of one span of time. */
+/** Counts within one time span. */
 export interface CauseSpan {
-  /** Wall milliseconds at which the span begins. */
+  /** Start of the span, in wall milliseconds. */
   readonly startMs: number;
-  /** How often each cause occurred; causes that did not are missing. */
+  /** Occurrences of each cause; causes that did not occur are omitted. */
   readonly counts: Readonly<Record<string, number>>;
 }
 
-/** The cause that a line stands for, by its event; others stand for none. */
-const CAUSES: Readonly<Record<string, (details: Details) => string>> = {
+/** The cause that a log line counts towards, by its event; other events are ignored. */
+const CAUSE_BY_EVENT: Readonly<
+  Record<string, (details: EventDetails) => string>
+> = {
   'flow-placed': ({copy}) =>
     Number(copy) > 0 ? 'opening repeated' : 'flow opened',
   'packet-refused': ({reason, outcome}) =>
@@ -32,7 +31,7 @@
   'lines-left-out': ({of}) => `lines left out of ${String(of)}`,
 };
 
-/** Counts the causes in spans of `spanMs`; spans without any line are listed too. */
+/** Counts causes in spans of `spanMs`; includes empty spans between the first and the last. */
 export function countCauses(
   events: readonly TimelineEvent[],
   spanMs: number,
@@ -42,10 +41,10 @@
   events.forEach(event => {
     const counts = spans.get(spanOf(event.physicalMs)) ?? new Map();
     spans.set(spanOf(event.physicalMs), counts);
-    const details = detailsOf(event);
-    const cause = CAUSES[event.kind]?.(details);
+    const details = parseDetails(event);
+    const cause = CAUSE_BY_EVENT[event.kind]?.(details);
     if (cause !== undefined) {
-      // A line about lines that were left out tells how many.
+      // Lines that summarize suppressed ones carry their number.
       const times = Number(details['count'] ?? 1);
       counts.set(cause, (counts.get(cause) ?? 0) + times);
     }
@@ -59,8 +58,8 @@
   });
 }
 
-/** The spans as rows: a heading with every cause that occurs, then a row each. */
-export function causeRows(spans: readonly CauseSpan[]): string[][] {
+/** Formats spans as rows: a heading with all causes that occur, then one row per span. */
+export function formatCauseRows(spans: readonly CauseSpan[]): string[][] {
   const causes = [
     ...new Set(spans.flatMap(({counts}) => Object.keys(counts))),
   ].sort();
--- a/src/cli/command-output.ts
+++ b/src/cli/command-output.ts
@@ -1,7 +1,7 @@
-/** What all commands of the operators' tool share: options, output, exit codes. */
+/** Options, output and exit codes that all commands share. */
 
-/** Exit codes of the tool. */
-export const ExitCode = {DONE: 0, FAILED: 1, WRONG_USE: 2} as const;
+/** Exit codes of the command line. */
+export const ExitCode = {DONE: 0, FAILED: 1, USAGE_ERROR: 2} as const;
 /** One of the codes in `ExitCode`. */
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
 
@@ -11,12 +11,12 @@
   readonly json?: boolean;
 }
 
-/** Prints to standard output. */
+/** Prints a line to standard output. */
 export function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-/** Prints to standard error. */
+/** Prints a line to standard error. */
 export function printError(text: string): void {
   process.stderr.write(`${text}\n`);
 }
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -23,12 +23,11 @@
 import {compareTexts} from './text-difference.js';
 import {formatTable} from './text-table.js';
 
-/** Time in which an edit has to be accepted, in milliseconds. */
-const EDIT_MS = 15_000;
-/** Longest wait for daemons to have an edit in force, in milliseconds. */
-const WAIT_MS = 30_000;
-/** Pause between two looks at the daemons, in milliseconds. */
-const POLL_MS = 100;
+/** Time limit for the store to accept an edit. */
+const EDIT_TIMEOUT_MS = 15_000;
+/** Time limit for an edit to become active on all daemons. */
+const MAX_WAIT_MS = 30_000;
+const POLL_INTERVAL_MS = 100;
 
 /** Options of `apply`. */
 export interface ApplyOptions extends CommonOptions {
@@ -40,13 +39,13 @@
   readonly remove?: string | string[];
 }
 
-/** `check FILE...`: reads settings, templates and workspaces. */
+/** `check FILE...`: validates settings, templates and workspaces. */
 export function check(files: readonly string[], json: boolean): ExitCode {
   const faults = files.flatMap(checkFile);
   if (json) {
     print(JSON.stringify({faults}));
   } else if (faults.length === 0) {
-    print(`${files.length} file(s) without a fault`);
+    print(`${files.length} file(s) valid`);
   } else {
     faults.forEach(fault => printError(formatFault(fault)));
   }
@@ -62,7 +61,7 @@
     );
 }
 
-/** Tells the kinds of files apart by their sections. */
+/** Validates a file; its sections tell which kind of file it is. */
 function checkText(
   file: string,
   text: string,
@@ -75,7 +74,7 @@
     : sourceNameOf(file, text);
 }
 
-/** `apply FILE...`: makes one edit of all the files. */
+/** `apply FILE...`: submits all files as one edit. */
 export async function apply(
   platform: Platform,
   files: readonly string[],
@@ -93,8 +92,8 @@
     changes: changes.value,
   };
   return options.dryRun === true
-    ? showWhatWouldChange(platform, edit, options)
-    : makeEdit(platform, edit, options);
+    ? showDryRun(platform, edit, options)
+    : submitEdit(platform, edit, options);
 }
 
 function readChanges(
@@ -112,7 +111,7 @@
   );
 }
 
-async function makeEdit(
+async function submitEdit(
   platform: Platform,
   edit: Edit,
   options: ApplyOptions,
@@ -120,7 +119,7 @@
   const result = await platform.editor.apply(edit, {
     base: options.base === undefined ? undefined : Number(options.base),
     rebase: options.rebase === true,
-    deadline: platform.clock.now() + EDIT_MS,
+    deadline: platform.clock.now() + EDIT_TIMEOUT_MS,
   });
   if (result.isErr()) {
     return reportFailure(result.error, options);
@@ -131,7 +130,7 @@
     print(`accepted as revision ${revision} (edit ${edit.editId})`);
   }
   const missing =
-    options.wait === true ? await waitInForce(platform, revision) : [];
+    options.wait === true ? await waitUntilActive(platform, revision) : [];
   if (options.json === true) {
     print(JSON.stringify({revision, editId: edit.editId, missing}));
   }
@@ -148,33 +147,36 @@
   return ExitCode.FAILED;
 }
 
-/** Waits until every daemon opens flows by the revision; names the others. */
-async function waitInForce(
+/**
+ * Waits until the revision is active on every daemon. Returns the ids of daemons on which
+ * it is not when the time is over.
+ */
+async function waitUntilActive(
   platform: Platform,
   revision: number,
 ): Promise<string[]> {
-  const deadline = platform.clock.now() + WAIT_MS;
+  const deadline = platform.clock.now() + MAX_WAIT_MS;
   const startedMs = platform.clock.now();
-  let missing = await daemonsBehind(platform, revision);
+  let missing = await listDaemonsBehind(platform, revision);
   let shown = -1;
   while (missing.length > 0 && platform.clock.now() < deadline) {
     if (missing.length !== shown) {
       shown = missing.length;
       printError(`waiting for ${missing.join(', ')}`);
     }
-    await new Promise(resolve => setTimeout(resolve, POLL_MS));
-    missing = await daemonsBehind(platform, revision);
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
+    missing = await listDaemonsBehind(platform, revision);
   }
   const seconds = ((platform.clock.now() - startedMs) / 1_000).toFixed(1);
   printError(
     missing.length === 0
-      ? `in force on every daemon after ${seconds} s`
-      : `not in force after ${seconds} s on: ${missing.join(', ')}`,
+      ? `active on every daemon after ${seconds} s`
+      : `not active after ${seconds} s on: ${missing.join(', ')}`,
   );
   return missing;
 }
 
-async function daemonsBehind(
+async function listDaemonsBehind(
   platform: Platform,
   revision: number,
 ): Promise<string[]> {
@@ -184,7 +186,7 @@
     .map(({id}) => id);
 }
 
-async function showWhatWouldChange(
+async function showDryRun(
   platform: Platform,
   edit: Edit,
   options: ApplyOptions,
@@ -249,7 +251,7 @@
   });
 }
 
-/** `show [SOURCE]`: prints sources of the newest or of an earlier revision. */
+/** `show [SOURCE]`: prints sources of the newest or an earlier revision. */
 export async function show(
   platform: Platform,
   name: string | undefined,
@@ -308,12 +310,12 @@
     return undefined;
   }
   if (read.value === undefined) {
-    printError(`revision ${revision ?? ''} is not kept any more`);
+    printError(`revision ${revision ?? ''} is no longer stored`);
   }
   return read.value;
 }
 
-/** `history`: the edits that are remembered, oldest first. */
+/** `history`: lists the stored edits, oldest first. */
 export async function history(
   platform: Platform,
   options: CommonOptions,
--- a/src/cli/flow-story.spec.ts
+++ b/src/cli/flow-explanation.spec.ts
@@ -7,13 +7,13 @@
 import {SimulatedPlatform} from '../../standins/simulated-platform.js';
 import type {LoggedLine} from '../../standins/memory-log.js';
 import {formatIpv4} from '../routing/ipv4.js';
-import {tellFlowStory} from './flow-story.js';
+import {explainFlow} from './flow-explanation.js';
 import {readProcessLogs} from './process-logs.js';
 import {createRoute} from '../../standins/catalog-records.js';
 
 const PAY = createRoute('pay', {address: 0xc6120001, port: 443});
 
-async function createWorld(): Promise<SimulatedPlatform> {
+async function createPlatform(): Promise<SimulatedPlatform> {
   const plan = {
     seed: 3,
     daemons: 3,
@@ -25,8 +25,8 @@
   return SimulatedPlatform.create(plan, await XxhashHasher.create());
 }
 
-/** Writes what a world logged as files, one a process, and reads them again. */
-function readBack(lines: readonly LoggedLine[]) {
+/** Writes logged lines to one file per process and reads them back. */
+function writeAndReadLogs(lines: readonly LoggedLine[]) {
   const folder = mkdtempSync(join(tmpdir(), 'weldyard-logs-'));
   const processes = [...new Set(lines.map(({process}) => process))];
   const files = processes.map(process => {
@@ -48,20 +48,20 @@
   return readProcessLogs(files)._unsafeUnwrap();
 }
 
-test('the cause of an opening to a silent server is found from the logs alone', async () => {
-  const world = await createWorld();
-  const [silent] = world.liveServers('pay');
-  world.crashServer(silent, true, 60_000);
-  const callers = Array.from({length: 12}, () => world.call(PAY, 1, 3_000));
-  await world.clock.advance(2_000);
-  const events = readBack(world.lines);
-  const stories = callers.map(({options}) =>
-    tellFlowStory(
+test('an opening that a silent server did not answer is explained', async () => {
+  const platform = await createPlatform();
+  const [silent] = platform.liveServers('pay');
+  platform.crashServer(silent, true, 60_000);
+  const callers = Array.from({length: 12}, () => platform.call(PAY, 1, 3_000));
+  await platform.clock.advance(2_000);
+  const events = writeAndReadLogs(platform.lines);
+  const explanations = callers.map(({options}) =>
+    explainFlow(
       events,
       `${formatIpv4(options.sourceAddress)}:${options.sourcePort}`,
     ),
   );
-  const retried = stories.filter(({findings}) =>
+  const retried = explanations.filter(({findings}) =>
     findings.some(finding =>
       finding.startsWith('its opening was sent 2 times'),
     ),
@@ -76,35 +76,37 @@
   );
 });
 
-test('the cause of a refused opening names the version and its age', async () => {
-  const world = await createWorld();
-  world.publish([]);
-  await world.clock.advance(1_000);
-  const caller = world.call(PAY, 1, 3_000);
-  await world.clock.advance(500);
+test('a refused opening is explained with the route version and its age', async () => {
+  const platform = await createPlatform();
+  platform.publish([]);
+  await platform.clock.advance(1_000);
+  const caller = platform.call(PAY, 1, 3_000);
+  await platform.clock.advance(500);
   const {sourceAddress, sourcePort} = caller.options;
   const source = `${formatIpv4(sourceAddress)}:${sourcePort}`;
-  const {findings} = tellFlowStory(readBack(world.lines), source);
+  const {findings} = explainFlow(writeAndReadLogs(platform.lines), source);
   assert.match(
     findings[0],
     /^d\d: a packet was answered with a reset: version 2 of the routes, confirmed \d+ ms before, has no route/,
   );
 });
 
-test('the cause of a reset flow is the end of its server', async () => {
-  const world = await createWorld();
-  const callers = Array.from({length: 6}, () => world.call(PAY, 5_000, 40_000));
-  await world.clock.advance(500);
+test('a reset flow is explained by the end of its server', async () => {
+  const platform = await createPlatform();
+  const callers = Array.from({length: 6}, () =>
+    platform.call(PAY, 5_000, 40_000),
+  );
+  await platform.clock.advance(500);
   const [caller] = callers;
-  const ended = world
+  const ended = platform
     .liveServers('pay')
     .find(({entry}) => entry.id === caller.server);
   assert.ok(ended);
-  world.crashServer(ended, true, 2_300);
-  await world.clock.advance(26_000);
+  platform.crashServer(ended, true, 2_300);
+  await platform.clock.advance(26_000);
   const {sourceAddress, sourcePort} = caller.options;
   const source = `${formatIpv4(sourceAddress)}:${sourcePort}`;
-  const {findings} = tellFlowStory(readBack(world.lines), source);
+  const {findings} = explainFlow(writeAndReadLogs(platform.lines), source);
   assert.ok(findings.some(finding => finding.includes('its server had ended')));
   assert.ok(
     findings.includes(`${ended.entry.id} left the list of servers`),
@@ -112,7 +114,7 @@
   );
 });
 
-test('files without a log line and files that are not there are named', () => {
+test('files without a log line and missing files are reported by name', () => {
   const file = join(mkdtempSync(join(tmpdir(), 'weldyard-logs-')), 'empty.log');
   writeFileSync(file, 'hello\n');
   const empty = readProcessLogs([file])._unsafeUnwrapErr();
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' tool. Exit codes: 0 done, 1 failed, 2 wrong use. */
+/** The command line for operators. Exit codes: 0 done, 1 failed, 2 usage error. */
 import {cac} from 'cac';
 import {VERSION} from '../version.js';
 import {ExitCode, type CommonOptions} from './command-output.js';
@@ -25,7 +25,7 @@
 
 const DEFAULT_SETTINGS = 'weldyard.ini';
 
-/** Runs a command with the platform that the settings name. */
+/** Runs a command with a connection to the platform from the settings. */
 async function withPlatform(
   options: CommonOptions,
   run: (platform: Platform) => Promise<ExitCode>,
@@ -44,20 +44,20 @@
 program.option('--config <file>', 'settings that name the platform (INI)', {
   default: DEFAULT_SETTINGS,
 });
-program.option('--json', 'print for machines');
+program.option('--json', 'print JSON');
 program
-  .command('check <...files>', 'read settings, templates and workspaces')
+  .command('check <...files>', 'validate settings, templates and workspaces')
   .action((files: string[], options: CommonOptions) =>
     check(files, options.json === true),
   );
 program
-  .command('apply [...files]', 'make one edit of templates and workspaces')
+  .command('apply [...files]', 'submit templates and workspaces as one edit')
   .option('--remove <source>', 'remove "template/NAME" or "workspace/NAME"')
   .option('--editor <name>', 'who makes the edit')
-  .option('--base <revision>', 'the revision you looked at')
-  .option('--rebase', "make the edit on top of others' edits")
+  .option('--base <revision>', 'the revision that the edit is based on')
+  .option('--rebase', 'apply even if others edited since the base revision')
   .option('--dry-run', 'show what would change')
-  .option('--wait', 'wait until it is in force on every daemon')
+  .option('--wait', 'wait until it is active on every daemon')
   .action((files: string[], options: ApplyOptions) =>
     withPlatform(options, platform => apply(platform, files, options)),
   );
@@ -78,7 +78,10 @@
     withPlatform(options, platform => history(platform, options)),
   );
 program
-  .command('status [...files]', 'show the daemons, asked or from log files')
+  .command(
+    'status [...files]',
+    'show the state of daemons, live or from log files',
+  )
   .example('  $ weldyard status d1.log d2.log')
   .action((files: string[], options: CommonOptions) =>
     files.length > 0
@@ -104,20 +107,26 @@
   .example('  $ weldyard logs d1.log d2.log --server i-7f3a91c2')
   .action((files: string[], options: TimelineOptions) => logs(files, options));
 program
-  .command('explain <flow> <...files>', "a flow's story from log files")
+  .command(
+    'explain <flow> <...files>',
+    "explain a flow's outcome from log files",
+  )
   .example('  $ weldyard explain 100.64.0.7:40001 *.log')
   .action((flow: string, files: string[], options: CommonOptions) =>
     explain(flow, files, options),
   );
 program
-  .command('causes <...files>', 'what happened to callers over time, by cause')
-  .option('--every <seconds>', 'length of a span', {default: 2})
+  .command(
+    'causes <...files>',
+    'count outcomes for callers over time, by cause',
+  )
+  .option('--every <seconds>', 'length of a time span', {default: 2})
   .example('  $ weldyard causes *.log --every 1')
   .action((files: string[], options: CauseOptions) => causes(files, options));
 program.help();
 program.version(VERSION);
 
-/** Parses and runs; wrong use is told from failure. */
+/** Parses the arguments and runs the command; usage errors have their own exit code. */
 async function main(): Promise<ExitCode> {
   try {
     program.parse(process.argv, {run: false});
@@ -127,13 +136,13 @@
     }
     if (program.matchedCommand === undefined) {
       program.outputHelp();
-      return ExitCode.WRONG_USE;
+      return ExitCode.USAGE_ERROR;
     }
     return (await program.runMatchedCommand()) as ExitCode;
   } catch (error) {
-    const wrongUse = error instanceof Error && error.name === 'CACError';
+    const isUsageError = error instanceof Error && error.name === 'CACError';
     process.stderr.write(`weldyard: ${String(error)}\n`);
-    return wrongUse ? ExitCode.WRONG_USE : ExitCode.FAILED;
+    return isUsageError ? ExitCode.USAGE_ERROR : ExitCode.FAILED;
   }
 }
 
--- a/src/cli/observation-commands.ts
+++ b/src/cli/observation-commands.ts
@@ -1,18 +1,18 @@
 /**
- * The commands that show what daemons say of themselves, asked now or in their
- * log files; each returns its exit code.
+ * The commands that show the state and events of daemons, live or from log files; each
+ * returns its exit code.
  */
 import {writeFileSync} from 'node:fs';
 import type {TimelineEvent} from '../generated/peer.js';
 import {parseSocketAddress} from '../routing/ipv4.js';
-import {causeRows, countCauses} from './cause-table.js';
+import {formatCauseRows, countCauses} from './cause-table.js';
 import {
   ExitCode,
   print,
   printError,
   type CommonOptions,
 } from './command-output.js';
-import {tellFlowStory} from './flow-story.js';
+import {explainFlow} from './flow-explanation.js';
 import type {Platform} from './platform.js';
 import {readProcessLogs, type LogFileFault} from './process-logs.js';
 import {
@@ -42,11 +42,11 @@
 
 /** Options of `causes`. */
 export interface CauseOptions extends CommonOptions {
-  /** Length of a span, in seconds. */
+  /** Length of a time span, in seconds. */
   readonly every: number;
 }
 
-/** `status`: what each daemon says of itself. */
+/** `status`: shows the live status of each daemon; fails unless all answer. */
 export async function status(
   platform: Platform,
   options: CommonOptions,
@@ -67,7 +67,7 @@
   'daemon',
   'failure domain',
   'state',
-  'in force',
+  'active',
   'staged',
   'members',
   'entries',
@@ -92,7 +92,7 @@
       ];
 }
 
-/** `status FILE...`: what log files say of each daemon; done if all is well. */
+/** `status FILE...`: shows the state of each daemon in logs; fails unless all are healthy. */
 export function statusFromLogs(
   files: readonly string[],
   options: CommonOptions,
@@ -136,7 +136,7 @@
   ];
 }
 
-/** `timeline`: events of all processes in causal order. */
+/** `timeline`: shows the events of all daemons in causal order. */
 export async function timeline(
   platform: Platform,
   options: TimelineOptions,
@@ -148,7 +148,7 @@
   );
 }
 
-/** `logs FILE...`: shows the events of daemons' log files, merged and filtered. */
+/** `logs FILE...`: shows the events in log files of daemons, merged and filtered. */
 export function logs(
   files: readonly string[],
   options: TimelineOptions,
@@ -159,40 +159,42 @@
   );
 }
 
-/** `explain FLOW FILE...`: what became of a caller's flow. */
+/** `explain FLOW FILE...`: explains the outcome of a flow. */
 export function explain(
   source: string,
   files: readonly string[],
   options: CommonOptions,
 ): ExitCode {
   if (parseSocketAddress(source) === undefined) {
-    printError(`${source}: name the caller's flow as "a.b.c.d:port"`);
-    return ExitCode.WRONG_USE;
+    printError(`${source}: expected the caller's address as "a.b.c.d:port"`);
+    return ExitCode.USAGE_ERROR;
   }
   return readProcessLogs(files).match(events => {
-    const story = tellFlowStory(events, source);
-    const text = [printEvents(story.events), '', ...story.findings];
-    print(options.json === true ? JSON.stringify(story) : text.join('\n'));
-    return story.events.length > 0 ? ExitCode.DONE : ExitCode.FAILED;
+    const explanation = explainFlow(events, source);
+    const text = [printEvents(explanation.events), '', ...explanation.findings];
+    print(
+      options.json === true ? JSON.stringify(explanation) : text.join('\n'),
+    );
+    return explanation.events.length > 0 ? ExitCode.DONE : ExitCode.FAILED;
   }, reportFault);
 }
 
-/** `causes FILE...`: openings, refusals and losses in each span of time. */
+/** `causes FILE...`: counts openings, refusals and losses in each time span. */
 export function causes(
   files: readonly string[],
   options: CauseOptions,
 ): ExitCode {
   const spanMs = Number(options.every) * SECOND_MS;
   if (!(spanMs > 0)) {
-    printError('--every: give a number of seconds above 0, such as 2');
-    return ExitCode.WRONG_USE;
+    printError('--every: expected a number of seconds above 0, such as 2');
+    return ExitCode.USAGE_ERROR;
   }
   return readProcessLogs(files).match(events => {
     const spans = countCauses(events, spanMs);
     print(
       options.json === true
         ? JSON.stringify({spans})
-        : formatTable(causeRows(spans)),
+        : formatTable(formatCauseRows(spans)),
     );
     return ExitCode.DONE;
   }, reportFault);
--- a/src/cli/platform.ts
+++ b/src/cli/platform.ts
@@ -1,4 +1,4 @@
-/** What the command line needs of the platform and of the daemons. */
+/** Access of the command line to the platform and the daemons. */
 import {readFileSync} from 'node:fs';
 import {credentials} from '@grpc/grpc-js';
 import {err, ok, type Result} from 'neverthrow';
@@ -19,10 +19,10 @@
 } from '../generated/peer.js';
 import {InstanceRole, InstanceState} from '../ports/instance-list.js';
 
-const CALL_MS = 2_000;
-const TIMELINE_LIMIT = 10_000;
+const CALL_TIMEOUT_MS = 2_000;
+const MAX_TIMELINE_EVENTS = 10_000;
 
-/** The INI schema of the command line's settings. */
+/** INI schema of the settings file of the command line. */
 export const toolSettingsSchema = z.strictObject({
   platform: z.strictObject(
     {store: socketAddress(), 'instance-list': socketAddress()},
@@ -30,14 +30,14 @@
   ),
 });
 
-/** A daemon that the instance list names, with its answer. */
+/** The answer of a daemon in the instance list. */
 export interface DaemonAnswer<T> {
   readonly id: string;
   /** Undefined when the daemon did not answer. */
   readonly answer: T | undefined;
 }
 
-/** The platform as one command sees it. */
+/** Connections to the platform, for the duration of one command. */
 export class Platform {
   readonly clock = SystemClock.create();
   readonly editor: Editor;
@@ -51,29 +51,29 @@
     this.editor = Editor.create(this.store, this.clock);
   }
 
-  /** Connects to the platform at two addresses ("ip:port"). */
+  /** Creates connections to the store and the instance list, each at "ip:port". */
   static create(storeAddress: string, listAddress: string): Platform {
     return new Platform(storeAddress, listAddress);
   }
 
-  /** Connects by a settings file. */
+  /** Reads a settings file and connects to the platform that it names. */
   static open(file: string): Result<Platform, ConfigurationFaults> {
     return readSettings(file).map(({platform}) =>
       Platform.create(platform.store, platform['instance-list']),
     );
   }
 
-  /** Asks every live or leaving daemon for its status. */
+  /** Requests the status of every live or leaving daemon. */
   async statuses(): Promise<DaemonAnswer<StatusReply>[]> {
     return this.askAll<StatusReply>((client, ...rest) =>
       client.status({}, ...rest),
     );
   }
 
-  /** Asks every live or leaving daemon for its time line. */
+  /** Requests the timeline of every live or leaving daemon. */
   async timelines(): Promise<DaemonAnswer<TimelineReply>[]> {
     return this.askAll<TimelineReply>((client, ...rest) =>
-      client.timeline({limit: TIMELINE_LIMIT}, ...rest),
+      client.timeline({limit: MAX_TIMELINE_EVENTS}, ...rest),
     );
   }
 
@@ -105,7 +105,7 @@
           credentials.createInsecure(),
           CHANNEL_OPTIONS,
         );
-        const deadline = this.clock.now() + CALL_MS;
+        const deadline = this.clock.now() + CALL_TIMEOUT_MS;
         const result = await callUnary<T>(this.clock, deadline, (...rest) =>
           ask(client, ...rest),
         );
--- a/src/cli/process-logs.spec.ts
+++ b/src/cli/process-logs.spec.ts
@@ -20,16 +20,16 @@
     .map(({kind}) => kind);
 }
 
-test('text before a line is passed over', () => {
+test('text before the JSON of a line is ignored', () => {
   assert.deepEqual(kindsIn(`  1.5 d1 ${lineOf('started')}`), ['started']);
 });
 
-test('a line behind one that was cut off is read', () => {
+test('a line that directly follows a truncated one is read', () => {
   const cut = lineOf('flow-placed').slice(0, 60);
   assert.deepEqual(kindsIn(`${cut}  1.5 d2 ${lineOf('ready')}`), ['ready']);
 });
 
-test('a file without a line is a fault that names it', () => {
+test('a file without a log line is a fault that names it', () => {
   const file = join(FOLDER, 'empty.log');
   writeFileSync(file, 'nothing\n{"a":\n');
   const fault = readProcessLogs([file])._unsafeUnwrapErr();
--- a/src/cli/process-logs.ts
+++ b/src/cli/process-logs.ts
@@ -1,19 +1,19 @@
 /**
- * Log lines of daemons as events of a time line. Lines of several processes may
- * stand in one file, and text may stand before the JSON of a line.
+ * Parses log files of daemons into timeline events. A file may hold lines of several
+ * processes, and text before the JSON of a line.
  */
 import {readFileSync} from 'node:fs';
 import {Result, err, ok} from 'neverthrow';
 import type {TimelineEvent} from '../generated/peer.js';
 
-const STANDARD_INPUT = 0;
-/** What every line of a daemon's log begins with. */
+const STDIN_FD = 0;
+/** How the JSON of every log line begins. */
 const LINE_START = '{"timestamp"';
 
-/** The fields of a line or of its event; what stands in them is not known. */
-export type Details = Readonly<Record<string, unknown>>;
+/** Fields of a log line or an event, not validated. */
+export type EventDetails = Readonly<Record<string, unknown>>;
 
-/** Fields that every line has; the others are the event's details. */
+/** Fields of every line; all others are details of the event. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set([
   'timestamp',
   'level',
@@ -21,16 +21,16 @@
   'process',
 ]);
 
-/** A file of log lines cannot be used. */
+/** A log file is unreadable or holds no log line. */
 export class LogFileFault extends Error {
   readonly type = 'LogFileFault';
-  /** Creates the fault of one file. */
+  /** Creates the fault; its message names the file. */
   static create(file: string, cause: string): LogFileFault {
     return new LogFileFault(`${file}: ${cause}`);
   }
 }
 
-/** Reads files of log lines ("-": standard input), in the order of time. */
+/** Reads log files ("-" is standard input); returns their events in order of time. */
 export function readProcessLogs(
   files: readonly string[],
 ): Result<TimelineEvent[], LogFileFault> {
@@ -55,15 +55,15 @@
 
 function readFile(file: string): Result<string, LogFileFault> {
   try {
-    return ok(readFileSync(file === '-' ? STANDARD_INPUT : file, 'utf8'));
+    return ok(readFileSync(file === '-' ? STDIN_FD : file, 'utf8'));
   } catch (error) {
     return err(LogFileFault.create(file, `cannot be read; ${String(error)}`));
   }
 }
 
 /**
- * The event of a line; nothing for a line that is none. The last line of a process
- * that was killed may be cut off, and that of another process follow it at once.
+ * Parses a line; returns no event when it is not a log line. A line that a killed process
+ * left truncated may be followed directly by a line of another process.
  */
 function parseLine(line: string): TimelineEvent[] {
   const starts = [line.indexOf('{'), line.lastIndexOf(LINE_START)];
@@ -71,23 +71,23 @@
     .filter(start => start >= 0)
     .map(start => parseObject(line.slice(start)))
     .find(fields => fields !== undefined);
-  return parsed === undefined ? [] : eventOf(parsed);
+  return parsed === undefined ? [] : toEvent(parsed);
 }
 
-/** An event's own fields, without those that every line has. */
-export function detailsOf(event: TimelineEvent): Details {
-  return JSON.parse(event.detailJson) as Details;
+/** Returns the fields of an event, without those that every line has. */
+export function parseDetails(event: TimelineEvent): EventDetails {
+  return JSON.parse(event.detailJson) as EventDetails;
 }
 
-function parseObject(text: string): Details | undefined {
+function parseObject(text: string): EventDetails | undefined {
   try {
-    return JSON.parse(text) as Details;
+    return JSON.parse(text) as EventDetails;
   } catch {
     return undefined;
   }
 }
 
-function eventOf(fields: Details): TimelineEvent[] {
+function toEvent(fields: EventDetails): TimelineEvent[] {
   const physicalMs = Date.parse(String(fields['timestamp']));
   const {process, message} = fields;
   if (
--- a/src/cli/process-states.spec.ts
+++ b/src/cli/process-states.spec.ts
@@ -63,7 +63,7 @@
   }),
 );
 
-test('a store that answers again counts, and so does a restart', () => {
+test('a daemon reaches the store again after it answers, or after a restart', () => {
   const lost: Line = ['d1', 'source-lost'];
   const regained = [...HEALTHY, lost, ['d1', 'source-regained'] as Line];
   assert.equal(stateOf('d1', regained).lacksStore, false);
@@ -73,7 +73,7 @@
   );
 });
 
-test('starts without a stop before them are unplanned ends', () => {
+test('starts without a stop before them count as unplanned ends', () => {
   const state = stateOf('d1', [
     ['d1', 'started'],
     ['d1', 'stopping'],
@@ -91,7 +91,7 @@
   assert.equal(state.phase, 'starting');
 });
 
-test('a log of hundreds of thousands of lines is summed up', () => {
+test('a log of 200,000 lines is summarized', () => {
   const lines = Array.from({length: 200_000}, (_line, index): Line => [
     'd1',
     'routes-taken',
@@ -100,7 +100,7 @@
   assert.equal(stateOf('d1', lines).routeVersion, 199_999);
 });
 
-test('a daemon shows the domains that it holds to be evacuated since its start', () => {
+test('domains that were evacuated since the last start are listed', () => {
   const lines: readonly Line[] = [
     ['d1', 'domain-evacuated', {failureDomain: 'lost-with-the-start'}],
     ['d1', 'started'],
--- a/src/cli/process-states.ts
+++ b/src/cli/process-states.ts
@@ -1,8 +1,8 @@
-/** What log files say of each daemon: its state, its versions, its starts and ends. */
+/** Derives the state of each daemon from its log lines, for `weldyard status FILE...`. */
 import type {TimelineEvent} from '../generated/peer.js';
-import {detailsOf, type Details} from './process-logs.js';
+import {parseDetails, type EventDetails} from './process-logs.js';
 
-/** What the last line about its life says of a process. */
+/** Phase in the life cycle of a process, by its last line about that. */
 export const ProcessPhase = {
   STARTING: 'starting',
   READY: 'ready',
@@ -13,27 +13,27 @@
 /** One of the phases in `ProcessPhase`. */
 export type ProcessPhase = (typeof ProcessPhase)[keyof typeof ProcessPhase];
 
-/** One process as its log lines show it. */
+/** State of one process, as far as its log lines show it. */
 export interface ProcessState {
   readonly process: string;
   readonly phase: ProcessPhase;
-  /** Wall milliseconds of its last line. */
+  /** Time of its last line, in wall milliseconds. */
   readonly lastLineMs: number;
   readonly starts: number;
-  /** Starts after which the next one came without a planned stop between them. */
+  /** Runs that ended without a planned stop before the next start. */
   readonly unplannedEnds: number;
-  /** Newest version of the routes that it names; 0 when it names none. */
+  /** Newest route version in its lines; 0 when there is none. */
   readonly routeVersion: number;
-  /** Whether its last word on the store is that it does not answer. */
+  /** Whether the store was unreachable as of its last line about that. */
   readonly lacksStore: boolean;
-  /** Failure domains that it holds to be evacuated. */
+  /** Failure domains that it treats as evacuated. */
   readonly evacuated: readonly string[];
-  /** Errors, and lines that were left out or lost. */
   readonly errors: number;
+  /** Lines that were suppressed by the rate limit or dropped. */
   readonly linesMissing: number;
 }
 
-const PHASES: Readonly<Record<string, ProcessPhase>> = {
+const PHASE_AFTER_EVENT: Readonly<Record<string, ProcessPhase>> = {
   started: ProcessPhase.STARTING,
   ready: ProcessPhase.READY,
   'not-ready': ProcessPhase.NOT_READY,
@@ -42,26 +42,26 @@
   stopped: ProcessPhase.STOPPED,
 };
 
-const ERRORS: ReadonlySet<string> = new Set([
+const ERROR_EVENTS: ReadonlySet<string> = new Set([
   'unexpected-error',
   'reload-failed',
 ]);
 
-/** Events after which the store is known to answer, or not to. */
-const STORE_ANSWERS: Readonly<Record<string, boolean>> = {
+/** Events after which the store is known to be reachable, or not. */
+const STORE_AVAILABLE_AFTER_EVENT: Readonly<Record<string, boolean>> = {
   'source-lost': false,
   'source-read-failed': false,
   'source-regained': true,
   started: true,
 };
 
-/** Events after which a failure domain is evacuated, or is not. */
-const DOMAIN_CHANGES: Readonly<Record<string, boolean>> = {
+/** Events that start (true) or end (false) the evacuation of a failure domain. */
+const EVACUATED_AFTER_EVENT: Readonly<Record<string, boolean>> = {
   'domain-evacuated': true,
   'domain-restored': false,
 };
 
-/** The state of each process, by name; `events` are in the order of time. */
+/** Returns the state of each process, sorted by name; `events` must be in order of time. */
 export function summarizeProcesses(
   events: readonly TimelineEvent[],
 ): ProcessState[] {
@@ -76,7 +76,7 @@
     .map(name => summarizeProcess(name, byProcess.get(name) ?? []));
 }
 
-/** Whether every process is ready, in touch, and on the newest version of all. */
+/** Whether every process is ready, reaches the store and has the newest route version. */
 export function isHealthy(states: readonly ProcessState[]): boolean {
   const newest = Math.max(...states.map(({routeVersion}) => routeVersion));
   return states.every(
@@ -90,31 +90,34 @@
   events: readonly TimelineEvent[],
 ): ProcessState {
   const kinds = events.map(({kind}) => kind);
-  const details = events.map(detailsOf);
+  const details = events.map(parseDetails);
   const lastOf = (known: object) =>
     kinds.filter(kind => Object.hasOwn(known, kind)).pop() ?? '';
   return {
     process,
-    phase: PHASES[lastOf(PHASES)] ?? ProcessPhase.NOT_READY,
+    phase:
+      PHASE_AFTER_EVENT[lastOf(PHASE_AFTER_EVENT)] ?? ProcessPhase.NOT_READY,
     lastLineMs: events[events.length - 1].physicalMs,
     starts: kinds.filter(kind => kind === 'started').length,
     unplannedEnds: countUnplannedEnds(kinds),
-    // Not Math.max over all: it takes no more arguments than the stack holds.
+    // Spreading into Math.max would overflow the stack on large logs.
     routeVersion: details.reduce(
-      (newest, fields) => Math.max(newest, versionIn(fields)),
+      (newest, fields) => Math.max(newest, getRouteVersion(fields)),
       0,
     ),
-    lacksStore: STORE_ANSWERS[lastOf(STORE_ANSWERS)] === false,
-    evacuated: evacuatedIn(events),
-    errors: kinds.filter(kind => ERRORS.has(kind)).length,
+    lacksStore:
+      STORE_AVAILABLE_AFTER_EVENT[lastOf(STORE_AVAILABLE_AFTER_EVENT)] ===
+      false,
+    evacuated: listEvacuatedDomains(events),
+    errors: kinds.filter(kind => ERROR_EVENTS.has(kind)).length,
     linesMissing: details.reduce(
-      (sum, fields, index) => sum + missingIn(kinds[index], fields),
+      (sum, fields, index) => sum + countMissingLines(kinds[index], fields),
       0,
     ),
   };
 }
 
-/** A start that follows another one with no stop between them ended unplanned. */
+/** Counts starts that follow another start without a stop between them. */
 function countUnplannedEnds(kinds: readonly string[]): number {
   const life = kinds.filter(kind => kind === 'started' || kind === 'stopped');
   return life.filter(
@@ -122,29 +125,32 @@
   ).length;
 }
 
-/** Domains whose last change since the last start is that they were evacuated. */
-function evacuatedIn(events: readonly TimelineEvent[]): string[] {
+/** Lists the domains that were evacuated since the last start and not restored after that. */
+function listEvacuatedDomains(events: readonly TimelineEvent[]): string[] {
   const kinds = events.map(({kind}) => kind);
   const changes = events
     .slice(kinds.lastIndexOf('started') + 1)
-    .filter(({kind}) => Object.hasOwn(DOMAIN_CHANGES, kind))
+    .filter(({kind}) => Object.hasOwn(EVACUATED_AFTER_EVENT, kind))
     .map(
       event =>
         [
-          String(detailsOf(event)['failureDomain']),
-          DOMAIN_CHANGES[event.kind],
+          String(parseDetails(event)['failureDomain']),
+          EVACUATED_AFTER_EVENT[event.kind],
         ] as const,
     );
   const last = new Map(changes);
   return [...last.keys()].filter(domain => last.get(domain) === true).sort();
 }
 
-function versionIn({routeVersion}: Details): number {
+function getRouteVersion({routeVersion}: EventDetails): number {
   return typeof routeVersion === 'number' ? routeVersion : 0;
 }
 
-/** Lines that this one says were left out by the budget or lost by a slow reader. */
-function missingIn(kind: string, {count, linesLost}: Details): number {
-  const leftOut = kind === 'lines-left-out' ? Number(count) : 0;
-  return leftOut + Number(linesLost ?? 0);
+/** Returns the missing lines that a line reports: suppressed by the rate limit, or dropped. */
+function countMissingLines(
+  kind: string,
+  {count, linesLost}: EventDetails,
+): number {
+  const suppressed = kind === 'lines-left-out' ? Number(count) : 0;
+  return suppressed + Number(linesLost ?? 0);
 }
--- a/src/cli/text-difference.ts
+++ b/src/cli/text-difference.ts
@@ -1,6 +1,6 @@
 /** Line differences between two texts. */
 
-/** One line of a difference. */
+/** One line of a comparison: common, removed or added. */
 export interface DifferenceLine {
   readonly mark: ' ' | '-' | '+';
   readonly text: string;
@@ -8,9 +8,9 @@
 
 /** Compares two texts line by line by their longest common subsequence. */
 export function compareTexts(before: string, after: string): DifferenceLine[] {
-  const a = linesOf(before);
-  const b = linesOf(after);
-  const lengths = commonLengths(a, b);
+  const a = splitLines(before);
+  const b = splitLines(after);
+  const lengths = computeCommonLengths(a, b);
   const result: DifferenceLine[] = [];
   let i = 0;
   let j = 0;
@@ -33,12 +33,15 @@
   return result;
 }
 
-function linesOf(text: string): string[] {
+function splitLines(text: string): string[] {
   return text === '' ? [] : text.replace(/\n$/, '').split('\n');
 }
 
-/** Length of the longest common subsequence of each pair of tails. */
-function commonLengths(a: readonly string[], b: readonly string[]): number[][] {
+/** Returns the length of the longest common subsequence for each pair of suffixes. */
+function computeCommonLengths(
+  a: readonly string[],
+  b: readonly string[],
+): number[][] {
   const table = Array.from({length: a.length + 1}, () =>
     new Array<number>(b.length + 1).fill(0),
   );
--- a/src/cli/text-table.ts
+++ b/src/cli/text-table.ts
@@ -1,8 +1,8 @@
-/** Plain tables for people. */
+/** Plain-text tables. */
 
-const GAP = '  ';
+const COLUMN_GAP = '  ';
 
-/** Lays rows out in columns; the first row is the heading. */
+/** Formats rows as aligned columns; the first row is the heading and sets their number. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map(row => (row[column] ?? '').length)),
@@ -11,7 +11,7 @@
     .map(row =>
       row
         .map((cell, column) => cell.padEnd(widths[column]))
-        .join(GAP)
+        .join(COLUMN_GAP)
         .trimEnd(),
     )
     .join('\n');
--- a/src/cli/timeline-view.ts
+++ b/src/cli/timeline-view.ts
@@ -1,4 +1,4 @@
-/** Time lines of several processes: merged, filtered, printed, drawn. */
+/** Merges, filters, prints and draws the timelines of several processes. */
 import type {TimelineEvent} from '../generated/peer.js';
 
 const LANE_HEIGHT = 44;
@@ -20,13 +20,13 @@
 
 /** Which events to show. */
 export interface TimelineFilter {
-  /** Wall milliseconds. */
+  /** Time of the first event, in wall milliseconds. */
   readonly sinceMs?: number;
-  /** Texts that an event's details must contain. */
+  /** Substrings that the JSON of an event's details must all contain. */
   readonly contains: readonly string[];
 }
 
-/** Merges events in causal order: by hybrid clock, then by process. */
+/** Filters events and sorts them in causal order: by hybrid logical clock, then process. */
 export function mergeEvents(
   events: readonly TimelineEvent[],
   filter: TimelineFilter,
@@ -44,7 +44,7 @@
     );
 }
 
-/** One line an event. */
+/** Formats events as text, one line per event. */
 export function printEvents(events: readonly TimelineEvent[]): string {
   return events
     .map(event => {
@@ -55,7 +55,7 @@
     .join('\n');
 }
 
-/** Draws one lane a process as an SVG picture. */
+/** Draws events as an SVG image, with one lane per process. */
 export function drawEvents(events: readonly TimelineEvent[]): string {
   const processes = [...new Set(events.map(({process}) => process))].sort();
   const first = events[0]?.physicalMs ?? 0;
@@ -83,9 +83,9 @@
   ].join('\n');
 }
 
-/** The picture in a page of its own. */
+/** Draws events as an HTML page. */
 export function drawPage(events: readonly TimelineEvent[]): string {
-  return `<!doctype html><html><head><meta charset="utf-8"><title>weldyard time line</title></head><body>${drawEvents(events)}</body></html>`;
+  return `<!doctype html><html><head><meta charset="utf-8"><title>weldyard timeline</title></head><body>${drawEvents(events)}</body></html>`;
 }
 
 function drawLane(process: string, y: number): string {
