--- a/src/adapters/daemon-peers.spec.ts
+++ b/src/adapters/daemon-peers.spec.ts
@@ -11,7 +11,7 @@
 import {loadPeerSecurity, type SecuritySettings} from './peer-security.js';
 import {SystemClock} from './system-clock.js';
 
-const CALL_MS = 2_000;
+const CALL_TIMEOUT_MS = 2_000;
 const folder = mkdtempSync(path.join(tmpdir(), 'weldyard-tls-'));
 const clock = SystemClock.create();
 let nextPort = 31_000 + (process.pid % 500);
@@ -40,12 +40,12 @@
   return {...files, authority: files.certificate, 'datagram-key': key};
 }
 
-function createHandlers(seen: string[]): PeerHandlers {
+function createHandlers(received: string[]): PeerHandlers {
   return {
-    onPassed: sender => seen.push(`passed by ${sender}`),
-    onHint: sender => seen.push(`hint of ${sender}`),
-    onProbe: sender => seen.push(`probe of ${sender}`),
-    onExceptions: sender => seen.push(`entries of ${sender}`),
+    onPassed: sender => received.push(`passed by ${sender}`),
+    onHint: sender => received.push(`hint of ${sender}`),
+    onProbe: sender => received.push(`probe of ${sender}`),
+    onExceptions: sender => received.push(`entries of ${sender}`),
     onPullState: () => [],
     onPullChanges: () => ({epoch: 1, top: 0, changes: []}),
     onPullMembers: () => ({members: [], loads: []}),
@@ -67,17 +67,17 @@
     counters,
     security,
   });
-  const seen: string[] = [];
-  await peers.serve(createHandlers(seen));
-  return {address, peers, counters, seen};
+  const received: string[] = [];
+  await peers.serve(createHandlers(received));
+  return {address, peers, counters, received};
 }
 
-async function waitFor(holds: () => boolean): Promise<void> {
-  const deadline = clock.now() + CALL_MS;
-  while (!holds() && clock.now() < deadline) {
+async function waitUntil(condition: () => boolean): Promise<void> {
+  const deadline = clock.now() + CALL_TIMEOUT_MS;
+  while (!condition() && clock.now() < deadline) {
     await new Promise(resolve => setTimeout(resolve, 10));
   }
-  assert.ok(holds());
+  assert.ok(condition());
 }
 
 test('peers without the certificate and key are refused and counted', async () => {
@@ -85,10 +85,10 @@
   const theirs = await createCertificate('theirs', 'another');
   const a = await createPeers('a', ours);
   const b = await createPeers('b', ours);
-  const stranger = await createPeers('stranger', theirs);
-  const open = await createPeers('open', {});
+  const untrusted = await createPeers('untrusted', theirs);
+  const unsecured = await createPeers('unsecured', {});
 
-  const deadline = () => clock.now() + CALL_MS;
+  const deadline = () => clock.now() + CALL_TIMEOUT_MS;
   const pushed = await a.peers.pushExceptions(b.address, [], deadline());
   assert.ok(pushed.isOk());
   a.peers.hint(b.address, {
@@ -98,9 +98,9 @@
     address: 3,
     port: 4,
   });
-  await waitFor(() => b.seen.includes('hint of a'));
+  await waitUntil(() => b.received.includes('hint of a'));
 
-  await [stranger, open].reduce(async (earlier, other) => {
+  await [untrusted, unsecured].reduce(async (earlier, other) => {
     await earlier;
     const refused = await other.peers.pushExceptions(b.address, [], deadline());
     assert.ok(refused.isErr());
@@ -113,12 +113,14 @@
     });
   }, Promise.resolve());
   const count = () => b.counters.read()[Metric.PEER_DATAGRAMS_REFUSED] ?? 0;
-  await waitFor(() => count() === 2);
+  await waitUntil(() => count() === 2);
   assert.deepEqual(
-    b.seen.filter(text => !text.endsWith(' a')),
+    b.received.filter(text => !text.endsWith(' a')),
     [],
   );
-  await Promise.all([a, b, stranger, open].map(({peers}) => peers.close()));
+  await Promise.all(
+    [a, b, untrusted, unsecured].map(({peers}) => peers.close()),
+  );
 });
 
 test('incomplete or missing certificates fail with SecurityUnusable', () => {
--- a/src/adapters/datagram-fleet.spec.ts
+++ b/src/adapters/datagram-fleet.spec.ts
@@ -55,7 +55,7 @@
 test('heartbeats and pulls reach a peer; malformed datagrams and paths are rejected', async () => {
   const first = createFleet(FIRST);
   const second = createFleet(SECOND);
-  const heard: Array<[number, Beat]> = [];
+  const received: Array<[number, Beat]> = [];
   const ignore = {
     onHeartbeat: () => undefined,
     onPull: () => ({
@@ -66,7 +66,7 @@
     }),
   };
   await first.fleet.serve({
-    onHeartbeat: (sender, beat) => heard.push([sender, beat]),
+    onHeartbeat: (sender, beat) => received.push([sender, beat]),
     onPull: ({asker, routeVersion, serverRevision, serverDigest}) => ({
       routes: {
         version: routeVersion + serverRevision,
@@ -84,8 +84,8 @@
   await second.fleet.serve(ignore);
   try {
     second.fleet.sendHeartbeat(FIRST, BEAT);
-    await waitUntil(() => heard.length === 1);
-    assert.deepEqual(heard[0], [SECOND, BEAT]);
+    await waitUntil(() => received.length === 1);
+    assert.deepEqual(received[0], [SECOND, BEAT]);
 
     const pulled = await second.fleet.pull(
       FIRST,
@@ -101,13 +101,13 @@
     assert.equal(pulled._unsafeUnwrap().routes?.ageMs, 3);
     assert.equal(pulled._unsafeUnwrap().other, SECOND);
 
-    const stranger = dgram.createSocket('udp4');
-    stranger.send(Buffer.from([0xff, 0xff, 0xff]), PORT, '127.0.0.2');
+    const socket = dgram.createSocket('udp4');
+    socket.send(Buffer.from([0xff, 0xff, 0xff]), PORT, '127.0.0.2');
     await waitUntil(
       () => first.counters.read()[Metric.PEER_DATAGRAMS_REFUSED] === 1,
     );
-    stranger.close();
-    assert.equal(heard.length, 1);
+    socket.close();
+    assert.equal(received.length, 1);
 
     const statuses = await Promise.all(
       ['//', '/x', '/catalog?%'].map(statusOf),
--- a/src/adapters/datagram-fleet.ts
+++ b/src/adapters/datagram-fleet.ts
@@ -76,8 +76,8 @@
     );
   }
 
-  sendHeartbeat(address: number, beat: Beat): void {
-    const bytes = Beat.encode(beat).finish();
+  sendHeartbeat(address: number, heartbeat: Beat): void {
+    const bytes = Beat.encode(heartbeat).finish();
     this.options.counters.add(Metric.CONTROL_DATAGRAMS_SENT);
     this.options.counters.add(Metric.CONTROL_BYTES_SENT, bytes.length);
     this.socket?.send(bytes, this.options.port, formatIpv4(address));
@@ -134,12 +134,12 @@
     from: string,
   ): void {
     const sender = parseIpv4(from);
-    const beat = decodeBeat(bytes);
-    if (sender === undefined || beat === undefined) {
+    const heartbeat = decodeHeartbeat(bytes);
+    if (sender === undefined || heartbeat === undefined) {
       this.options.counters.add(Metric.PEER_DATAGRAMS_REFUSED);
       return;
     }
-    handlers.onHeartbeat(sender, beat);
+    handlers.onHeartbeat(sender, heartbeat);
   }
 }
 
@@ -174,7 +174,7 @@
 }
 
 /** Decodes a heartbeat; undefined when the bytes are malformed. */
-function decodeBeat(bytes: Uint8Array): Beat | undefined {
+function decodeHeartbeat(bytes: Uint8Array): Beat | undefined {
   try {
     return Beat.decode(bytes);
   } catch {
--- a/src/adapters/http-client.spec.ts
+++ b/src/adapters/http-client.spec.ts
@@ -8,11 +8,11 @@
 
 const clock = SystemClock.create();
 const HOST = '127.0.0.1';
-const LIMIT_MS = 300;
-const LONGEST_BODY = 1_000;
+const DEADLINE_MS = 300;
+const MAX_BODY_BYTES = 1_000;
 
-function soon(): number {
-  return clock.now() + LIMIT_MS;
+function createDeadline(): number {
+  return clock.now() + DEADLINE_MS;
 }
 
 /** Runs calls against a server, then closes it and its connections. */
@@ -30,7 +30,7 @@
     host: HOST,
     port,
     clock,
-    longestBody: LONGEST_BODY,
+    longestBody: MAX_BODY_BYTES,
   });
   try {
     await run(client);
@@ -56,9 +56,9 @@
   });
   await withServer(server, async client => {
     for (const path of ['/whole', '/chunks', '/end', '/whole']) {
-      const answer = (await client.get(path, soon()))._unsafeUnwrap();
-      assert.equal(answer.status, 200);
-      assert.equal(answer.body.toString(), 'some text', path);
+      const result = (await client.get(path, createDeadline()))._unsafeUnwrap();
+      assert.equal(result.status, 200);
+      assert.equal(result.body.toString(), 'some text', path);
     }
   });
 });
@@ -70,39 +70,45 @@
   });
   server.on('connection', () => (connections += 1));
   await withServer(server, async client => {
-    await client.get('/', soon());
-    await client.get('/', soon());
+    await client.get('/', createDeadline());
+    await client.get('/', createDeadline());
     assert.equal(connections, 1);
-    await Promise.all([client.get('/', soon()), client.get('/', soon())]);
+    await Promise.all([
+      client.get('/', createDeadline()),
+      client.get('/', createDeadline()),
+    ]);
     assert.equal(connections, 2);
   });
 });
 
 test('a hung connection costs one deadline; later calls use new connections', async () => {
-  let silent = false;
+  let isHung = false;
   const server = net.createServer(socket => {
-    const isOld = !silent;
+    const isOld = !isHung;
     socket.on('data', () => {
-      if (!(isOld && silent)) {
+      if (!(isOld && isHung)) {
         socket.write('HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx');
       }
     });
   });
   await withServer(server, async client => {
-    await Promise.all([client.get('/', soon()), client.get('/', soon())]);
-    silent = true;
+    await Promise.all([
+      client.get('/', createDeadline()),
+      client.get('/', createDeadline()),
+    ]);
+    isHung = true;
     const started = clock.now();
-    const failed = (await client.get('/', soon()))._unsafeUnwrapErr();
+    const failed = (await client.get('/', createDeadline()))._unsafeUnwrapErr();
     assert.equal(failed.kind, HttpFailureKind.SILENT);
-    assert.ok(clock.now() - started < LIMIT_MS * 1.5);
+    assert.ok(clock.now() - started < DEADLINE_MS * 1.5);
     // The second old connection hangs too and must not be used again.
-    assert.ok((await client.get('/', soon())).isOk());
-    assert.ok((await client.get('/', soon())).isOk());
+    assert.ok((await client.get('/', createDeadline())).isOk());
+    assert.ok((await client.get('/', createDeadline())).isOk());
   });
 });
 
 test('a closed port, a truncated response, invalid HTTP and a large body have their failure kinds', async () => {
-  const answers: Readonly<Record<string, string>> = {
+  const responses: Readonly<Record<string, string>> = {
     '/broken': 'HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nx',
     '/other': 'SSH-2.0-x\r\n\r\n',
     '/long': `HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n${'x'.repeat(3_000)}`,
@@ -111,14 +117,14 @@
     socket.on('error', () => undefined);
     socket.on('data', bytes => {
       const path = bytes.toString().split(' ')[1];
-      socket.write(answers[path]);
+      socket.write(responses[path]);
       if (path === '/broken') {
         socket.end();
       }
     });
   });
   const kindOf = async (client: HttpClient, path: string) =>
-    (await client.get(path, soon()))._unsafeUnwrapErr().kind;
+    (await client.get(path, createDeadline()))._unsafeUnwrapErr().kind;
   await withServer(server, async client => {
     const {DISCONNECTED, MALFORMED} = HttpFailureKind;
     assert.equal(await kindOf(client, '/broken'), DISCONNECTED);
@@ -158,31 +164,33 @@
   stop();
 });
 
-/** Sends `pieces` of ten bytes, 60 ms apart; without `ends` the response stays incomplete. */
-function drip(pieces: number, ends: boolean): http.Server {
+/** Sends `chunks` of ten bytes, 60 ms apart; without `ends` the response stays incomplete. */
+function createSlowServer(chunks: number, ends: boolean): http.Server {
   return http.createServer((_request, response) => {
-    response.setHeader('content-length', ends ? pieces * 10 : LONGEST_BODY);
-    Array.from({length: pieces}, (_piece, index) =>
+    response.setHeader('content-length', ends ? chunks * 10 : MAX_BODY_BYTES);
+    Array.from({length: chunks}, (_chunk, index) =>
       setTimeout(() => response.write('0123456789'), index * 60),
     );
   });
 }
 
 test('a response that is still arriving at the deadline is read completely', async () => {
-  await withServer(drip(12, true), async client => {
+  await withServer(createSlowServer(12, true), async client => {
     const startedAt = clock.now();
-    const answer = (await client.get('/', soon()))._unsafeUnwrap();
-    assert.equal(answer.body.length, 120);
-    assert.ok(clock.now() - startedAt > 2 * LIMIT_MS);
+    const result = (await client.get('/', createDeadline()))._unsafeUnwrap();
+    assert.equal(result.body.length, 120);
+    assert.ok(clock.now() - startedAt > 2 * DEADLINE_MS);
   });
 });
 
 test('a response that stalls fails soon after the deadline', async () => {
-  await withServer(drip(8, false), async client => {
+  await withServer(createSlowServer(8, false), async client => {
     const startedAt = clock.now();
-    const failure = (await client.get('/', soon()))._unsafeUnwrapErr();
+    const failure = (
+      await client.get('/', createDeadline())
+    )._unsafeUnwrapErr();
     assert.equal(failure.kind, HttpFailureKind.SILENT);
     const tookMs = clock.now() - startedAt;
-    assert.ok(tookMs > LIMIT_MS && tookMs < 1_300, String(tookMs));
+    assert.ok(tookMs > DEADLINE_MS && tookMs < 1_300, String(tookMs));
   });
 });
--- a/src/adapters/tcp-contact.spec.ts
+++ b/src/adapters/tcp-contact.spec.ts
@@ -8,7 +8,7 @@
 import {TcpContact} from './tcp-contact.js';
 
 const LOOPBACK = 0x7f000001;
-const CONTACT_MS = 200;
+const CONTACT_TIMEOUT_MS = 200;
 
 const clock = SystemClock.create();
 
@@ -34,7 +34,7 @@
 });
 
 /** Listens with a backlog of one and never accepts. */
-const DEAF_LISTENER = `
+const NON_ACCEPTING_LISTENER = `
   const {parentPort} = require('node:worker_threads');
   const server = require('node:net').createServer();
   server.listen({port: 0, host: '127.0.0.1', backlog: 1}, () => {
@@ -46,7 +46,7 @@
 `;
 
 test('a host that does not answer is silent at the deadline', async t => {
-  const listener = new Worker(DEAF_LISTENER, {eval: true});
+  const listener = new Worker(NON_ACCEPTING_LISTENER, {eval: true});
   const [port] = (await once(listener, 'message')) as [number];
   // Fills the backlog, so that further SYN packets are dropped as by a host that is down.
   const fillers = Array.from({length: 4}, () => net.connect(port, '127.0.0.1'));
@@ -57,9 +57,9 @@
   });
   await new Promise(resolve => setTimeout(resolve, 100));
   const startedAt = clock.now();
-  const deadline = startedAt + CONTACT_MS;
+  const deadline = startedAt + CONTACT_TIMEOUT_MS;
   const contact = TcpContact.create(clock);
   const result = await contact.reach({address: LOOPBACK, port}, deadline);
   assert.equal(result, ContactResult.SILENT);
-  assert.ok(clock.now() - startedAt >= CONTACT_MS - 1);
+  assert.ok(clock.now() - startedAt >= CONTACT_TIMEOUT_MS - 1);
 });
--- a/src/adapters/udp-fabric.spec.ts
+++ b/src/adapters/udp-fabric.spec.ts
@@ -41,17 +41,17 @@
 });
 
 test('truncated and altered packets never make decoding throw', () => {
-  const whole = Packet.encode(PACKET).finish();
+  const encoded = Packet.encode(PACKET).finish();
   fc.assert(
     fc.property(
-      fc.nat(whole.length - 1),
+      fc.nat(encoded.length - 1),
       fc.integer({min: 0, max: 255}),
       (position, value) => {
-        const changed = Uint8Array.from(whole);
-        changed[position] = value;
-        decodePacket(changed);
-        const cut = decodePacket(whole.subarray(0, position));
-        assert.ok(cut === undefined || cut.destinationPort > 0);
+        const altered = Uint8Array.from(encoded);
+        altered[position] = value;
+        decodePacket(altered);
+        const truncated = decodePacket(encoded.subarray(0, position));
+        assert.ok(truncated === undefined || truncated.destinationPort > 0);
       },
     ),
     {seed: 6, numRuns: 1_000},
--- a/src/cli/process-logs.spec.ts
+++ b/src/cli/process-logs.spec.ts
@@ -25,8 +25,10 @@
 });
 
 test('a line that directly follows a truncated one is read', () => {
-  const cut = lineOf('flow-placed').slice(0, 60);
-  assert.deepEqual(kindsIn(`${cut}  1.5 d2 ${lineOf('ready')}`), ['ready']);
+  const truncated = lineOf('flow-placed').slice(0, 60);
+  assert.deepEqual(kindsIn(`${truncated}  1.5 d2 ${lineOf('ready')}`), [
+    'ready',
+  ]);
 });
 
 test('a file without a log line is a fault that names it', () => {
