--- a/src/adapters/stdout-log.ts
+++ b/src/adapters/stdout-log.ts
@@ -67,7 +67,7 @@
     this.enqueue('debug', event, fields);
   }
 
-  /** Writes the buffered lines; resolves when they are written. */
+  /** Writes the buffered lines; resolves at once when another write is in progress. */
   async flush(): Promise<void> {
     await this.writeAll();
   }
--- a/src/cli/cause-table.ts
+++ b/src/cli/cause-table.ts
@@ -37,10 +37,10 @@
   spanMs: number,
 ): CauseSpan[] {
   const spans = new Map<number, Map<string, number>>();
-  const spanOf = (at: number) => Math.floor(at / spanMs) * spanMs;
+  const startOfSpan = (at: number) => Math.floor(at / spanMs) * spanMs;
   events.forEach(event => {
-    const counts = spans.get(spanOf(event.physicalMs)) ?? new Map();
-    spans.set(spanOf(event.physicalMs), counts);
+    const counts = spans.get(startOfSpan(event.physicalMs)) ?? new Map();
+    spans.set(startOfSpan(event.physicalMs), counts);
     const details = parseDetails(event);
     const cause = CAUSE_BY_EVENT[event.kind]?.(details);
     if (cause !== undefined) {
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The public library: the coordination parts of weldyard, for embedding. All
- * of them see the outside through the ports that are exported here.
+ * Public API: the coordination components of weldyard, for embedding. They access network,
+ * storage and clocks only through the ports exported here.
  */
 
 // Ports
@@ -76,7 +76,7 @@
 } from './membership/failure-detector.js';
 export {ChangeLog} from './membership/change-log.js';
 
-// Routes and servers shared by a fleet, and routing by cookies
+// Catalog of routes and servers replicated within a fleet, and routing by cookies
 export {Catalog, type CatalogOptions} from './catalog/catalog.js';
 export {type KnownRoute} from './catalog/route-table.js';
 export {
@@ -127,6 +127,6 @@
 export {KeyRanges, type RangeView} from './admission/key-ranges.js';
 export {LeasedKeyGuard} from './admission/leased-key-guard.js';
 
-// Adapters that need nothing of a daemon
+// Adapters that can be used without a daemon
 export {SystemClock} from './adapters/system-clock.js';
 export {XxhashHasher} from './adapters/xxhash-hasher.js';
