--- a/src/adapters/datagram-fleet.spec.ts
+++ b/src/adapters/datagram-fleet.spec.ts
@@ -43,8 +43,8 @@
   return {fleet, counters};
 }
 
-/** Waits until a condition holds, for two seconds at the most. */
-async function until(condition: () => boolean): Promise<void> {
+/** Waits up to two seconds until a condition holds. */
+async function waitUntil(condition: () => boolean): Promise<void> {
   const deadline = clock.now() + 2_000;
   while (!condition() && clock.now() < deadline) {
     await new Promise(resolve => setTimeout(resolve, 5));
@@ -52,10 +52,10 @@
   assert.ok(condition());
 }
 
-test('beats and pulls reach a peer; strangers cost a count and no more', async () => {
+test('heartbeats and pulls reach a peer; malformed datagrams and paths are rejected', async () => {
   const first = createFleet(FIRST);
   const second = createFleet(SECOND);
-  const heard: Array<[number, Beat]> = [];
+  const received: Array<[number, Beat]> = [];
   const ignore = {
     onHeartbeat: () => undefined,
     onPull: () => ({
@@ -66,7 +66,7 @@
     }),
   };
   await first.fleet.serve({
-    onHeartbeat: (sender, beat) => heard.push([sender, beat]),
+    onHeartbeat: (sender, beat) => received.push([sender, beat]),
     onPull: ({asker, routeVersion, serverRevision, serverDigest}) => ({
       routes: {
         version: routeVersion + serverRevision,
@@ -84,8 +84,8 @@
   await second.fleet.serve(ignore);
   try {
     second.fleet.sendHeartbeat(FIRST, BEAT);
-    await until(() => heard.length === 1);
-    assert.deepEqual(heard[0], [SECOND, BEAT]);
+    await waitUntil(() => received.length === 1);
+    assert.deepEqual(received[0], [SECOND, BEAT]);
 
     const pulled = await second.fleet.pull(
       FIRST,
@@ -101,13 +101,13 @@
     assert.equal(pulled._unsafeUnwrap().routes?.ageMs, 3);
     assert.equal(pulled._unsafeUnwrap().other, SECOND);
 
-    const stranger = dgram.createSocket('udp4');
-    stranger.send(Buffer.from([0xff, 0xff, 0xff]), PORT, '127.0.0.2');
-    await until(
+    const socket = dgram.createSocket('udp4');
+    socket.send(Buffer.from([0xff, 0xff, 0xff]), PORT, '127.0.0.2');
+    await waitUntil(
       () => first.counters.read()[Metric.PEER_DATAGRAMS_REFUSED] === 1,
     );
-    stranger.close();
-    assert.equal(heard.length, 1);
+    socket.close();
+    assert.equal(received.length, 1);
 
     const statuses = await Promise.all(
       ['//', '/x', '/catalog?%'].map(statusOf),
@@ -119,7 +119,7 @@
   }
 });
 
-test('a pull from a peer that is not there fails with a type', async () => {
+test('a pull from an unreachable peer fails with PeerUnavailable', async () => {
   const {fleet} = createFleet(SECOND);
   const pulled = await fleet.pull(
     FIRST,
--- a/src/adapters/udp-fabric.spec.ts
+++ b/src/adapters/udp-fabric.spec.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {Packet, PacketKind, PeerDatagram} from '../generated/packet.js';
-import {DatagramDigest} from './datagram-digest.js';
+import {DatagramAuthenticator} from './datagram-authenticator.js';
 import {decodePacket} from './udp-fabric.js';
 
 const PACKET: Packet = {
@@ -16,7 +16,7 @@
   returnAddress: '127.0.0.1:5000',
 };
 
-test('a packet is read as it was written', () => {
+test('a packet header is decoded as it was encoded', () => {
   const read = decodePacket(Packet.encode(PACKET).finish());
   assert.deepEqual(read, {
     sourceAddress: PACKET.sourceAddress,
@@ -27,7 +27,7 @@
   });
 });
 
-test('no bytes make the reader throw, and ports stay in range', () => {
+test('arbitrary bytes never make decoding throw, and ports stay in range', () => {
   fc.assert(
     fc.property(fc.uint8Array({maxLength: 64}), bytes => {
       const read = decodePacket(bytes);
@@ -40,33 +40,36 @@
   );
 });
 
-test('a packet cut short or with changed bytes never throws', () => {
-  const whole = Packet.encode(PACKET).finish();
+test('truncated and altered packets never make decoding throw', () => {
+  const encoded = Packet.encode(PACKET).finish();
   fc.assert(
     fc.property(
-      fc.nat(whole.length - 1),
+      fc.nat(encoded.length - 1),
       fc.integer({min: 0, max: 255}),
       (position, value) => {
-        const changed = Uint8Array.from(whole);
-        changed[position] = value;
-        decodePacket(changed);
-        const cut = decodePacket(whole.subarray(0, position));
-        assert.ok(cut === undefined || cut.destinationPort > 0);
+        const altered = Uint8Array.from(encoded);
+        altered[position] = value;
+        decodePacket(altered);
+        const truncated = decodePacket(encoded.subarray(0, position));
+        assert.ok(truncated === undefined || truncated.destinationPort > 0);
       },
     ),
     {seed: 6, numRuns: 1_000},
   );
 });
 
-test('a datagram of a stranger is refused', () => {
-  const own = DatagramDigest.create('a shared key');
+test('a datagram with a wrong authentication code is refused', () => {
+  const own = DatagramAuthenticator.create('a shared key');
   const bytes = Buffer.from(
     PeerDatagram.encode(PeerDatagram.fromPartial({sender: 'a'})).finish(),
   );
-  const sealed = Buffer.from(own.seal(bytes));
-  assert.deepEqual(own.open(sealed), bytes);
-  assert.equal(DatagramDigest.create('another').open(sealed), undefined);
+  const sealed = Buffer.from(own.sign(bytes));
+  assert.deepEqual(own.verify(sealed), bytes);
+  assert.equal(
+    DatagramAuthenticator.create('another').verify(sealed),
+    undefined,
+  );
   sealed[sealed.length - 1] ^= 1;
-  assert.equal(own.open(sealed), undefined);
-  assert.equal(own.open(Buffer.alloc(3)), undefined);
+  assert.equal(own.verify(sealed), undefined);
+  assert.equal(own.verify(Buffer.alloc(3)), undefined);
 });
