--- a/examples/embed-placement.ts
+++ b/examples/embed-placement.ts
@@ -1,6 +1,6 @@
 /**
- * Embeds two coordination parts: a lookup table that every process computes
- * alike, and a budget that keeps repeated tries to a share of the first ones.
+ * Example of using the library: a Maglev table that every process computes
+ * identically, and a retry budget.
  */
 import {
   RetryBudget,
@@ -9,16 +9,16 @@
   entryCountFor,
 } from '../src/index.js';
 
-/** What the example finds out. */
+/** Result of the example. */
 export interface ExampleResult {
-  /** The server of each key. */
+  /** Server id for each key, in the order of the keys. */
   readonly servers: readonly string[];
-  /** Repeats that the budget allowed for 100 first tries. */
-  readonly repeats: number;
+  /** Retries that the budget allowed for 100 first attempts. */
+  readonly retries: number;
 }
 
-/** Runs the example. */
-export async function embedParts(
+/** Selects a server for each key and spends a retry budget of 10%. */
+export async function runExample(
   keys: readonly string[],
 ): Promise<ExampleResult> {
   const hasher = await XxhashHasher.create();
@@ -26,17 +26,17 @@
     id,
     weight: 1,
   }));
-  const entries = entryCountFor(servers.length);
-  const table = createMaglevTable(servers, entries, hasher);
+  const tableSize = entryCountFor(servers.length);
+  const table = createMaglevTable(servers, tableSize, hasher);
   const budget = RetryBudget.create(0.1, 1);
-  const repeats = Array.from({length: 100}).filter(() => {
+  const retries = Array.from({length: 100}).filter(() => {
     budget.earn();
     return budget.spend();
   }).length;
   return {
     servers: keys.map(
-      key => servers[table[hasher.hashText(key, 0) % entries]].id,
+      key => servers[table[hasher.hashText(key, 0) % tableSize]].id,
     ),
-    repeats,
+    retries,
   };
 }
