--- a/bench/cluster.spec.ts
+++ b/bench/cluster.spec.ts
@@ -6,11 +6,11 @@
 import {fileURLToPath} from 'node:url';
 import {promisify} from 'node:util';
 import {Cluster} from './cluster.js';
-import {totalsOf} from './measures.js';
+import {computeFlowTotals} from './measures.js';
 import {HANDHELD, METERPAY, PARKWISE_DOMAINS} from './plans.js';
 
 const run = promisify(execFile);
-const TOOL = path.resolve(
+const CLI_PATH = path.resolve(
   path.dirname(fileURLToPath(import.meta.url)),
   '../src/cli/main.js',
 );
@@ -27,8 +27,10 @@
 
 after(() => cluster.close());
 
-async function tool(...args: string[]): Promise<{code: number; text: string}> {
-  const program = [TOOL, ...args, '--config', cluster.toolSettings];
+async function runCli(
+  ...args: string[]
+): Promise<{code: number; text: string}> {
+  const program = [CLI_PATH, ...args, '--config', cluster.cliSettingsFile];
   try {
     const {stdout, stderr} = await run(process.execPath, program);
     return {code: 0, text: stdout + stderr};
@@ -42,7 +44,7 @@
   }
 }
 
-test('flows stay open while a daemon stops, and nothing is misrouted', async () => {
+test('flows stay open and reach their servers while a daemon stops', async () => {
   await cluster.openFlows([
     {
       service: 'parkwise/meterpay',
@@ -52,20 +54,20 @@
     },
   ]);
   await cluster.stopDaemon('entry-1');
-  const totals = totalsOf(await cluster.flows());
+  const totals = computeFlowTotals(await cluster.controlFlowCallers());
   assert.deepEqual(totals, {
     flows: 120,
     brokenFlows: 0,
     refusedFlows: 0,
     openFlows: 120,
   });
-  const backends = await cluster.backendReports();
+  const backends = await cluster.readBackendReports();
   assert.ok(backends.every(({misrouted}) => misrouted === 0));
   cluster.startDaemon();
   await cluster.waitReady();
 });
 
-test('requests are answered', async () => {
+test('requests are answered correctly and run at most once', async () => {
   await cluster.sendRequests({
     workspace: 'parkwise',
     service: 'meterpay',
@@ -75,31 +77,35 @@
     deadlineMs: 5_000,
     duplicates: 0.2,
   });
-  await cluster.waitUntil('requests have ended', async () => {
-    const {reports, pending} = await cluster.requests();
+  await cluster.waitFor('requests have ended', async () => {
+    const {reports, pending} = await cluster.readRequestReports();
     return pending === 0 && (reports[0]?.requests ?? 0) === 50;
   });
-  const [report] = (await cluster.requests()).reports;
+  const [report] = (await cluster.readRequestReports()).reports;
   assert.equal(report.answered + report.notRun + report.unknown, 50);
   assert.ok(report.answered > 0);
   assert.equal(report.wrongAnswers + report.partialAnswers, 0);
-  const backends = await cluster.backendReports('parkwise/meterpay');
+  const backends = await cluster.readBackendReports('parkwise/meterpay');
   assert.ok(backends.every(({doubleRuns}) => doubleRuns === 0));
 });
 
-test('the tool checks, applies, shows and reports', async () => {
+test('the command line checks, applies and shows configuration, status and time line', async () => {
   const file = path.join(cluster.folder, 'wrong.ini');
   writeFileSync(
     file,
     '[template]\nname = A B\n[server]\nslots = x\nslot = 1\n',
   );
-  const checked = await tool('check', file);
+  const checked = await runCli('check', file);
   assert.equal(checked.code, 1);
   assert.equal(checked.text.trim().split('\n').length, 3);
 
-  const applied = await tool('apply', '--wait', ...cluster.configurationFiles);
+  const applied = await runCli(
+    'apply',
+    '--wait',
+    ...cluster.configurationFiles,
+  );
   assert.equal(applied.code, 0, applied.text);
-  const stale = await tool(
+  const stale = await runCli(
     'apply',
     '--base',
     '1',
@@ -108,13 +114,13 @@
   assert.equal(stale.code, 1);
   assert.match(stale.text, /EditConflict/);
 
-  const shown = await tool('show', 'template/meterpay');
+  const shown = await runCli('show', 'template/meterpay');
   assert.match(shown.text, /name = meterpay/);
-  const status = await tool('status');
+  const status = await runCli('status');
   assert.equal(status.code, 0, status.text);
   const drawing = path.join(cluster.folder, 'timeline.svg');
-  const drawn = await tool('timeline', '--out', drawing);
+  const drawn = await runCli('timeline', '--out', drawing);
   assert.match(drawn.text, /[1-9]\d* events drawn/);
-  const unknown = await tool('no-such-command');
+  const unknown = await runCli('no-such-command');
   assert.equal(unknown.code, 2);
 });
--- a/bench/cluster.ts
+++ b/bench/cluster.ts
@@ -1,4 +1,7 @@
-/** Real daemons and stand-ins on loopback for demos and experiments. */
+/**
+ * Starts daemons, backend servers, callers and an emulated platform as processes
+ * on loopback, for the demo and the experiments.
+ */
 import {mkdirSync, mkdtempSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
@@ -18,34 +21,36 @@
 
 const HOST = '127.0.0.1';
 const FIRST_PORT = 10_000;
-const PORTS_A_CLUSTER = 1_000;
-const CLUSTERS = 20;
-const READY_MS = 30_000;
-/** More time for each daemon, since one machine starts them all. */
-const READY_EACH_MS = 500;
-const POLL_MS = 100;
-const DAEMONS_AT_ONCE = 8;
-const START_PAUSE_MS = 700;
+const PORTS_PER_CLUSTER = 1_000;
+const CLUSTER_PORT_RANGES = 20;
+const READY_TIMEOUT_MS = 30_000;
+/** Added to the timeout for each daemon, as they share the processors. */
+const READY_TIMEOUT_PER_DAEMON_MS = 500;
+const POLL_INTERVAL_MS = 100;
+const DAEMON_START_BATCH = 8;
+const BATCH_INTERVAL_MS = 700;
 const ROOT = path.resolve(path.dirname(fileURLToPath(import.meta.url)), '..');
 
-/** A service as a cluster sets it up. */
+/** A service with the size and behavior of its backend servers. */
 export interface ServicePlan {
   readonly workspace: string;
   readonly service: string;
-  /** "ip:port" that callers use. */
+  /** "ip:port" that callers connect to. */
   readonly address: string;
   readonly servers: number;
+  /** Requests that a server runs at once. */
   readonly slots: number;
+  /** Connection limit of a server. */
   readonly connections: number;
   readonly serviceMs: number;
   readonly repeatable: boolean;
-  /** "workspace/service" of the plan whose servers this one uses too. */
+  /** "workspace/service" of the plan whose servers this service shares. */
   readonly sharedWith?: string;
-  /** Relative weights of the first servers; 1 for the others. */
+  /** Weights by server index; 1 for servers beyond the end. */
   readonly weights?: readonly number[];
 }
 
-/** What a cluster is made from. */
+/** Size, services and policies of a cluster. */
 export interface ClusterOptions {
   readonly daemons: number;
   readonly domains: readonly string[];
@@ -55,11 +60,11 @@
   readonly requestPolicy?: 'weldyard' | 'naive';
   readonly flexibleShare?: number;
   readonly warmUp?: string;
-  /** Names servers in the configuration but starts none. */
+  /** Lists servers in the configuration without starting them. */
   readonly withoutBackends?: boolean;
 }
 
-/** A daemon of the cluster. */
+/** A daemon with its listening addresses ("ip:port"). */
 export interface DaemonHandle {
   readonly id: string;
   readonly domain: string;
@@ -70,7 +75,7 @@
   readonly stream: string;
 }
 
-/** What a backend server reports. */
+/** Counts that a backend server reports. */
 export interface BackendReport {
   readonly server: string;
   readonly flows: number;
@@ -87,16 +92,16 @@
   readonly keys: readonly (readonly [string, number])[];
 }
 
-/** Clusters started by this process, so that each has ports of its own. */
-let started = 0;
+/** Number of clusters created, from which each gets its port range. */
+let clustersCreated = 0;
 
-/** A running set of processes. */
+/** The processes of one cluster, with operations that control and observe them. */
 export class Cluster {
   readonly folder: string;
   readonly daemons = new Map<string, DaemonHandle>();
   readonly backends = new Map<string, {address: string; service: string}>();
   readonly store: Knobs;
-  readonly list: Knobs;
+  readonly instanceList: Knobs;
   readonly fabric: Knobs;
   readonly platform: Platform;
   readonly processes = Processes.create();
@@ -108,77 +113,77 @@
     requestCallers: string;
   };
   private readonly knobs = new Map<string, Knobs>();
-  private readonly ownEvents: TimelineEvent[] = [];
-  private readonly keptEvents: TimelineEvent[] = [];
+  private readonly experimentEvents: TimelineEvent[] = [];
+  private readonly daemonEvents: TimelineEvent[] = [];
   private nextPort: number;
-  private nextDaemon = 1;
+  private nextDaemonNumber = 1;
   private callersStarted = false;
 
   private constructor(private readonly options: ClusterOptions) {
-    const slot = (process.pid * 3 + started) % CLUSTERS;
-    started += 1;
-    this.nextPort = FIRST_PORT + slot * PORTS_A_CLUSTER;
+    const slot = (process.pid * 3 + clustersCreated) % CLUSTER_PORT_RANGES;
+    clustersCreated += 1;
+    this.nextPort = FIRST_PORT + slot * PORTS_PER_CLUSTER;
     this.folder = mkdtempSync(path.join(tmpdir(), 'weldyard-'));
     this.addresses = {
-      store: this.takeAddress(),
-      list: this.takeAddress(),
-      fabric: this.takeAddress(),
-      callers: this.takeAddress(),
-      requestCallers: this.takeAddress(),
+      store: this.allocateAddress(),
+      list: this.allocateAddress(),
+      fabric: this.allocateAddress(),
+      callers: this.allocateAddress(),
+      requestCallers: this.allocateAddress(),
     };
-    this.store = this.knobsOf(this.addresses.store);
-    this.list = this.knobsOf(this.addresses.list);
-    this.fabric = this.knobsOf(this.addresses.fabric);
+    this.store = this.getKnobs(this.addresses.store);
+    this.instanceList = this.getKnobs(this.addresses.list);
+    this.fabric = this.getKnobs(this.addresses.fabric);
     this.platform = Platform.create(this.addresses.store, this.addresses.list);
   }
 
-  /** Starts all processes, applies the configuration, waits until ready. */
+  /** Starts all processes and resolves once every daemon is ready. */
   static async create(options: ClusterOptions): Promise<Cluster> {
     const cluster = new Cluster(options);
     await cluster.startPlatform();
     await cluster.startBackends();
     cluster.writeConfiguration();
-    await cluster.apply('bench', cluster.configuration());
+    await cluster.apply('bench', cluster.createConfiguration());
     await cluster.startDaemons(options.daemons);
     await cluster.waitReady();
     await cluster.startCallers();
     return cluster;
   }
 
-  /** "ip:port" of the store. */
+  /** Address of the store ("ip:port"). */
   get storeAddress(): string {
     return this.addresses.store;
   }
 
-  /** Starts daemons, a few at a time: one machine stands in for many. */
+  /** Starts daemons in batches, so that their starts do not starve each other. */
   private async startDaemons(count: number): Promise<void> {
     await Array.from({length: count}).reduce<Promise<void>>(
       async (earlier, _, index) => {
         await earlier;
         this.startDaemon();
-        if (index % DAEMONS_AT_ONCE === DAEMONS_AT_ONCE - 1) {
-          await pause(START_PAUSE_MS);
+        if (index % DAEMON_START_BATCH === DAEMON_START_BATCH - 1) {
+          await pause(BATCH_INTERVAL_MS);
         }
       },
       Promise.resolve(),
     );
   }
 
-  /** Settings of the command line, for `weldyard --config`. */
-  get toolSettings(): string {
+  /** Path of the settings file for `weldyard --config`. */
+  get cliSettingsFile(): string {
     return path.join(this.folder, 'weldyard.ini');
   }
 
-  /** INI files of templates and workspaces, as written for operators. */
+  /** Paths of the INI files of all templates and workspaces. */
   get configurationFiles(): string[] {
-    return Object.keys(this.configuration()).map(name =>
+    return Object.keys(this.createConfiguration()).map(name =>
       path.join(this.folder, `${name.replace('/', '-')}.ini`),
     );
   }
 
-  /** Records what the experiment does, for the time line. */
-  note(kind: EventKind, detail: Record<string, string | number>): void {
-    this.ownEvents.push({
+  /** Adds an event of the experiment itself to the time line. */
+  recordEvent(kind: EventKind, detail: Record<string, string | number>): void {
+    this.experimentEvents.push({
       process: 'experiment',
       physicalMs: Date.now(),
       logical: 0,
@@ -187,57 +192,62 @@
     });
   }
 
-  /** Starts a new daemon in the failure domain that has the fewest. */
-  startDaemon(domain = this.emptiestDomain()): DaemonHandle {
-    const id = `entry-${this.nextDaemon}`;
-    this.nextDaemon += 1;
+  /** Starts a daemon, by default in the failure domain with the fewest. */
+  startDaemon(domain = this.findSmallestDomain()): DaemonHandle {
+    const id = `entry-${this.nextDaemonNumber}`;
+    this.nextDaemonNumber += 1;
     const handle: DaemonHandle = {
       id,
       domain,
-      fabric: this.takeAddress(),
-      peers: this.takeAddress(),
-      requests: this.takeAddress(),
-      control: this.takeAddress(),
-      stream: this.takeAddress(),
+      fabric: this.allocateAddress(),
+      peers: this.allocateAddress(),
+      requests: this.allocateAddress(),
+      control: this.allocateAddress(),
+      stream: this.allocateAddress(),
     };
     const file = path.join(this.folder, `${id}.ini`);
-    writeFileSync(file, this.daemonSettings(handle));
+    writeFileSync(file, this.formatDaemonSettings(handle));
     this.daemons.set(id, handle);
     const program = path.join(ROOT, 'src/daemon/main.js');
-    this.processes.start(id, [program, '--config', file], this.logOf(id));
+    this.processes.start(id, [program, '--config', file], this.getLogFile(id));
     if (this.callersStarted) {
-      const entries = this.requestEntries();
-      void this.knobsOf(this.addresses.requestCallers).turn({entries});
+      const entries = this.listRequestAddresses();
+      void this.getKnobs(this.addresses.requestCallers).turn({entries});
     }
     return handle;
   }
 
-  /** Stops a daemon in the planned way; returns its exit code. */
+  /** Stops a daemon with SIGTERM; resolves with its exit code. */
   async stopDaemon(id: string): Promise<number | null> {
-    this.note(EventKind.STEP, {stop: id});
-    await this.keepEvents();
+    this.recordEvent(EventKind.STEP, {stop: id});
+    await this.collectDaemonEvents();
     const code = await this.processes.stop(id);
     this.daemons.delete(id);
     return code;
   }
 
-  /** Kills a daemon at once. */
+  /** Kills a daemon with SIGKILL. */
   killDaemon(id: string): void {
-    this.note(EventKind.FAULT_INJECTED, {kill: id});
+    this.recordEvent(EventKind.FAULT_INJECTED, {kill: id});
     this.processes.signal(id, 'SIGKILL');
     this.daemons.delete(id);
   }
 
-  /** Freezes or wakes a daemon. */
+  /** Suspends a daemon with SIGSTOP or resumes it with SIGCONT. */
   freezeDaemon(id: string, frozen: boolean): void {
-    this.note(EventKind.FAULT_INJECTED, {[frozen ? 'freeze' : 'wake']: id});
+    this.recordEvent(EventKind.FAULT_INJECTED, {
+      [frozen ? 'freeze' : 'wake']: id,
+    });
     this.processes.signal(id, frozen ? 'SIGSTOP' : 'SIGCONT');
   }
 
-  /** Waits until every daemon started here is ready, or throws. */
+  /**
+   * Waits until every daemon is ready and sees all others as members. Throws
+   * after the timeout of `waitFor`.
+   */
   async waitReady(): Promise<void> {
-    await this.waitUntil('daemons are ready', async () => {
-      const statuses = await this.statuses();
+    await this.waitFor('all daemons are ready', async () => {
+      const statuses = await this.readStatuses();
       return (
         statuses.length === this.daemons.size &&
         statuses.every(
@@ -250,26 +260,37 @@
     });
   }
 
-  /** What the daemons that answer say of themselves. */
-  async statuses(): Promise<StatusReply[]> {
+  /** Returns the status of each daemon that answers. */
+  async readStatuses(): Promise<StatusReply[]> {
     const answers = await this.platform.statuses();
     return answers
       .filter(({id}) => this.daemons.has(id))
       .flatMap(({answer}) => answer ?? []);
   }
 
-  /** Waits for a condition, or throws after half a minute. */
-  async waitUntil(what: string, holds: () => Promise<boolean>): Promise<void> {
-    const deadline = Date.now() + READY_MS + this.daemons.size * READY_EACH_MS;
+  /**
+   * Polls until a condition holds. Throws after 30 s and half a second for each
+   * daemon.
+   */
+  async waitFor(
+    condition: string,
+    holds: () => Promise<boolean>,
+  ): Promise<void> {
+    const deadline =
+      Date.now() +
+      READY_TIMEOUT_MS +
+      this.daemons.size * READY_TIMEOUT_PER_DAEMON_MS;
     while (!(await holds())) {
       if (Date.now() > deadline) {
-        throw new Error(`waited in vain until ${what}; logs in ${this.folder}`);
+        throw new Error(
+          `timed out waiting until ${condition}; logs in ${this.folder}`,
+        );
       }
-      await pause(POLL_MS);
+      await pause(POLL_INTERVAL_MS);
     }
   }
 
-  /** Applies sources as one edit; returns the revision. */
+  /** Applies INI sources as one edit; returns its revision. Throws on failure. */
   async apply(editor: string, changes: Edit['changes']): Promise<number> {
     const edit: Edit = {
       editId: `${editor}-${Date.now()}-${Math.random()}`,
@@ -277,7 +298,7 @@
       atMs: Date.now(),
       changes,
     };
-    const deadline = this.platform.clock.now() + READY_MS;
+    const deadline = this.platform.clock.now() + READY_TIMEOUT_MS;
     const result = await this.platform.editor.apply(edit, {
       rebase: true,
       deadline,
@@ -285,37 +306,39 @@
     if (result.isErr()) {
       throw result.error;
     }
-    this.note(EventKind.STEP, {applied: result.value.revision});
+    this.recordEvent(EventKind.STEP, {applied: result.value.revision});
     return result.value.revision;
   }
 
-  /** The INI sources of the services, but for servers left out. */
-  configuration(leftOut: readonly string[] = []): Record<string, string> {
+  /** Returns the INI sources by name, without the excluded servers. */
+  createConfiguration(
+    excludedServers: readonly string[] = [],
+  ): Record<string, string> {
     const {services} = this.options;
     const owners = services.filter(plan => plan.sharedWith === undefined);
     const templates = owners.map(plan => [
       `template/${plan.service}`,
-      this.templateText(plan),
+      this.formatTemplate(plan),
     ]);
     const workspaces = new Set(services.map(({workspace}) => workspace));
     return Object.fromEntries([
       ...templates,
       ...[...workspaces].map(workspace => [
         `workspace/${workspace}`,
-        this.workspaceText(workspace, leftOut),
+        this.formatWorkspace(workspace, excludedServers),
       ]),
     ]) as Record<string, string>;
   }
 
-  /** Opens flows and waits until all are open or given up. */
+  /** Opens flows and waits until none is still opening. */
   async openFlows(orders: readonly OpenOrder[]): Promise<CallersReport> {
-    const callers = this.knobsOf(this.addresses.callers);
+    const callers = this.getKnobs(this.addresses.callers);
     await Promise.all(orders.map(open => callers.turn({open})));
     const total = orders.reduce((sum, {count}) => sum + count, 0);
     const seconds = Math.max(...orders.map(({count, rate}) => count / rate));
     await pause(seconds * 1_000);
-    await this.waitUntil('flows are open', async () => {
-      const report = await this.flows();
+    await this.waitFor('all flows are open or refused', async () => {
+      const report = await this.controlFlowCallers();
       const opening = report.services.reduce(
         (sum, {states}) => sum + (states['opening'] ?? 0),
         0,
@@ -323,38 +346,40 @@
       const flows = report.services.reduce((sum, {flows: own}) => sum + own, 0);
       return opening === 0 && flows >= total;
     });
-    return this.flows();
+    return this.controlFlowCallers();
   }
 
-  /** Turns knobs of the flow callers and reads their report. */
-  flows(settings: Record<string, unknown> = {}): Promise<CallersReport> {
-    return this.knobsOf(this.addresses.callers).turn(settings);
+  /** Applies settings to the flow callers and returns their report. */
+  controlFlowCallers(
+    settings: Record<string, unknown> = {},
+  ): Promise<CallersReport> {
+    return this.getKnobs(this.addresses.callers).turn(settings);
   }
 
-  /** Starts requests. */
+  /** Starts sending requests; resolves before they have ended. */
   async sendRequests(order: RequestOrder): Promise<void> {
-    await this.knobsOf(this.addresses.requestCallers).turn({send: order});
+    await this.getKnobs(this.addresses.requestCallers).turn({send: order});
   }
 
-  /** What the request callers report. */
-  requests(listOutcomes = false): Promise<{
+  /** Returns reports of the request callers, with outcomes by key on demand. */
+  readRequestReports(listOutcomes = false): Promise<{
     reports: RequestReport[];
     pending: number;
     outcomes: KeyOutcome[];
   }> {
-    return this.knobsOf(this.addresses.requestCallers).turn({listOutcomes});
+    return this.getKnobs(this.addresses.requestCallers).turn({listOutcomes});
   }
 
-  /** Turns knobs of one backend server and reads its report. */
-  backend(
+  /** Applies settings to a backend server ("ip:port") and returns its report. */
+  controlBackend(
     id: string,
     settings: Record<string, unknown> = {},
   ): Promise<BackendReport> {
-    return this.knobsOf(id).turn(settings);
+    return this.getKnobs(id).turn(settings);
   }
 
-  /** Reports of the servers of a service. */
-  async backendReports(
+  /** Applies settings to all servers of a service, or to all, and reads reports. */
+  async readBackendReports(
     service?: string,
     settings: Record<string, unknown> = {},
   ): Promise<BackendReport[]> {
@@ -362,40 +387,40 @@
       backend => service === undefined || backend.service === service,
     );
     return Promise.all(
-      chosen.map(({address}) => this.backend(address, settings)),
+      chosen.map(({address}) => this.controlBackend(address, settings)),
     );
   }
 
-  /** Servers of a service. */
-  serversOf(service: string): string[] {
+  /** Returns the server addresses of a service ("workspace/service"). */
+  listServers(service: string): string[] {
     return [...this.backends.values()]
       .filter(backend => backend.service === service)
       .map(({address}) => address);
   }
 
-  /** Events of the daemons and of the experiment. */
+  /** Returns events of the daemons and of the experiment. */
   async timeline(): Promise<TimelineEvent[]> {
-    await this.keepEvents();
-    return [...this.keptEvents, ...this.ownEvents];
+    await this.collectDaemonEvents();
+    return [...this.daemonEvents, ...this.experimentEvents];
   }
 
-  /** Ends every process; the time line is kept. */
+  /** Collects the daemons' events, then kills every process. */
   async close(): Promise<void> {
-    await this.keepEvents();
+    await this.collectDaemonEvents();
     this.processes.killAll();
     this.platform.close();
     this.knobs.forEach(knobs => knobs.close());
-    await pause(POLL_MS);
+    await pause(POLL_INTERVAL_MS);
   }
 
-  /** Keeps what the daemons' rings hold now. */
-  private async keepEvents(): Promise<void> {
+  /** Collects events from the daemons' buffers before they are overwritten. */
+  private async collectDaemonEvents(): Promise<void> {
     const answers = await this.platform.timelines();
-    const known = new Set(this.keptEvents.map(eventKey));
+    const known = new Set(this.daemonEvents.map(formatEventKey));
     answers
       .flatMap(({answer}) => answer?.events ?? [])
-      .filter(event => !known.has(eventKey(event)))
-      .forEach(event => this.keptEvents.push(event));
+      .filter(event => !known.has(formatEventKey(event)))
+      .forEach(event => this.daemonEvents.push(event));
   }
 
   private async startPlatform(): Promise<void> {
@@ -404,17 +429,21 @@
     this.startStandin('instance-list', ['instance-list', '--listen', list]);
     this.startStandin('fabric', ['fabric', '--listen', fabric, '--list', list]);
     await Promise.all(
-      [this.store, this.list, this.fabric].map(knobs => answers(knobs)),
+      [this.store, this.instanceList, this.fabric].map(knobs =>
+        waitForAnswer(knobs),
+      ),
     );
   }
 
-  /** One process for the servers of a service in a failure domain. */
+  /** Starts one process for each service and failure domain. */
   private async startBackends(): Promise<void> {
     const {services, domains} = this.options;
     const owners = services.filter(plan => plan.sharedWith === undefined);
     owners.forEach(plan => {
       const name = `${plan.workspace}/${plan.service}`;
-      const servers = Array.from({length: plan.servers}, () => this.takePair());
+      const servers = Array.from({length: plan.servers}, () =>
+        this.allocateAddressPair(),
+      );
       servers.forEach(address =>
         this.backends.set(address, {address, service: name}),
       );
@@ -430,9 +459,11 @@
         }
       });
     });
-    const started =
+    const startedServers =
       this.options.withoutBackends === true ? [] : [...this.backends.keys()];
-    await Promise.all(started.map(id => answers(this.knobsOf(id))));
+    await Promise.all(
+      startedServers.map(id => waitForAnswer(this.getKnobs(id))),
+    );
   }
 
   private startBackendProcess(
@@ -479,18 +510,20 @@
       '--list',
       list,
       '--entries',
-      JSON.stringify(this.requestEntries()),
+      JSON.stringify(this.listRequestAddresses()),
       '--seed',
       seed,
     ]);
     await Promise.all(
-      [callers, requestCallers].map(address => answers(this.knobsOf(address))),
+      [callers, requestCallers].map(address =>
+        waitForAnswer(this.getKnobs(address)),
+      ),
     );
     this.callersStarted = true;
   }
 
-  /** Request addresses by daemon id. */
-  private requestEntries(): Record<string, string> {
+  /** Returns request addresses by daemon id. */
+  private listRequestAddresses(): Record<string, string> {
     return Object.fromEntries(
       [...this.daemons.values()].map(({id, requests}) => [id, requests]),
     );
@@ -498,17 +531,17 @@
 
   private startStandin(name: string, args: readonly string[]): void {
     const program = path.join(ROOT, 'standins/main.js');
-    this.processes.start(name, [program, ...args], this.logOf(name));
+    this.processes.start(name, [program, ...args], this.getLogFile(name));
   }
 
   private writeConfiguration(): void {
     mkdirSync(this.folder, {recursive: true});
     writeFileSync(
-      this.toolSettings,
+      this.cliSettingsFile,
       `[platform]\nstore = ${this.addresses.store}\n` +
         `instance-list = ${this.addresses.list}\n`,
     );
-    Object.entries(this.configuration()).forEach(([name, text]) =>
+    Object.entries(this.createConfiguration()).forEach(([name, text]) =>
       writeFileSync(
         path.join(this.folder, `${name.replace('/', '-')}.ini`),
         text,
@@ -516,7 +549,7 @@
     );
   }
 
-  private templateText(plan: ServicePlan): string {
+  private formatTemplate(plan: ServicePlan): string {
     const {flexibleShare = 0.25, warmUp = '30s'} = this.options;
     return [
       '[template]',
@@ -526,7 +559,7 @@
       `slots = ${plan.slots}`,
       `connections = ${plan.connections}`,
       `warm-up = ${warmUp}`,
-      ...this.sharedServers(plan).map(id => `servers[] = ${id}`),
+      ...this.listSharedServers(plan).map(id => `servers[] = ${id}`),
       '',
       '[flows]',
       `flexible-share = ${flexibleShare}`,
@@ -537,7 +570,10 @@
     ].join('\n');
   }
 
-  private workspaceText(workspace: string, leftOut: readonly string[]): string {
+  private formatWorkspace(
+    workspace: string,
+    excludedServers: readonly string[],
+  ): string {
     const plans = this.options.services.filter(
       plan => plan.workspace === workspace,
     );
@@ -548,21 +584,21 @@
       `address = ${plan.address}`,
       ...(this.isShared(plan)
         ? []
-        : this.serversOf(`${workspace}/${plan.service}`)
+        : this.listServers(`${workspace}/${plan.service}`)
       )
         .map(
           (id, index) =>
             `servers[] = ${id} weight=${plan.weights?.[index] ?? 1}`,
         )
-        .filter(line => !leftOut.some(id => line.includes(`${id} `))),
+        .filter(line => !excludedServers.some(id => line.includes(`${id} `))),
     ]);
     return ['[workspace]', `name = ${workspace}`, ...sections, ''].join('\n');
   }
 
-  /** Servers that the template names, because several workspaces use them. */
-  private sharedServers(plan: ServicePlan): string[] {
+  /** Returns servers listed in the template because several workspaces use them. */
+  private listSharedServers(plan: ServicePlan): string[] {
     return this.isShared(plan)
-      ? this.serversOf(`${plan.workspace}/${plan.service}`)
+      ? this.listServers(`${plan.workspace}/${plan.service}`)
       : [];
   }
 
@@ -575,7 +611,7 @@
     );
   }
 
-  private daemonSettings(handle: DaemonHandle): string {
+  private formatDaemonSettings(handle: DaemonHandle): string {
     const {policy = 'weldyard', requestPolicy = 'weldyard'} = this.options;
     const {store, list} = this.addresses;
     const service = this.options.services[0].address;
@@ -604,7 +640,7 @@
     ].join('\n');
   }
 
-  private emptiestDomain(): string {
+  private findSmallestDomain(): string {
     const counts = this.options.domains.map(domain => ({
       domain,
       count: [...this.daemons.values()].filter(
@@ -616,20 +652,20 @@
     ).domain;
   }
 
-  /** An address that nothing else here uses. */
-  takeAddress(): string {
+  /** Allocates a loopback address with an unused port of this cluster. */
+  allocateAddress(): string {
     this.nextPort += 1;
     return `${HOST}:${this.nextPort - 1}`;
   }
 
-  /** An address whose next port is free too. */
-  private takePair(): string {
-    const address = this.takeAddress();
-    this.takeAddress();
+  /** Allocates an address whose next port is unused too, for a backend server. */
+  private allocateAddressPair(): string {
+    const address = this.allocateAddress();
+    this.allocateAddress();
     return address;
   }
 
-  private knobsOf(address: string): Knobs {
+  private getKnobs(address: string): Knobs {
     const known = this.knobs.get(address);
     if (known !== undefined) {
       return known;
@@ -639,29 +675,29 @@
     return created;
   }
 
-  private logOf(name: string): string {
+  private getLogFile(name: string): string {
     return path.join(this.folder, `${name}.log`);
   }
 }
 
-function eventKey(event: TimelineEvent): string {
+function formatEventKey(event: TimelineEvent): string {
   return `${event.process}/${event.physicalMs}/${event.logical}`;
 }
 
-/** Waits until a stand-in answers. */
-async function answers(knobs: Knobs): Promise<void> {
-  const deadline = Date.now() + READY_MS;
+/** Polls a stand-in until it answers a control call or the timeout has passed. */
+async function waitForAnswer(knobs: Knobs): Promise<void> {
+  const deadline = Date.now() + READY_TIMEOUT_MS;
   const answered = await knobs.turn().then(
     () => true,
     () => false,
   );
   if (!answered && Date.now() < deadline) {
-    await pause(POLL_MS);
-    await answers(knobs);
+    await pause(POLL_INTERVAL_MS);
+    await waitForAnswer(knobs);
   }
 }
 
-/** Resolves after a time in milliseconds. */
+/** Resolves after a number of milliseconds. */
 export function pause(milliseconds: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, milliseconds));
 }
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: eight daemons on loopback carry Parkwise's services while a daemon
- * is replaced and a backend server drains. Exit code 1 when a promise failed.
+ * Runs eight daemons on loopback while a daemon is replaced and a backend server
+ * drains. Exits with 1 when a flow or request fails; `--keep` leaves it running.
  */
 import {execFile} from 'node:child_process';
 import net from 'node:net';
@@ -9,36 +9,36 @@
 import {promisify} from 'node:util';
 import {formatTable} from '../src/cli/text-table.js';
 import {Cluster, pause, type ServicePlan} from './cluster.js';
-import {imbalanceOf, sumOf} from './measures.js';
+import {computeImbalance, sumReports} from './measures.js';
 import {HANDHELD, METERPAY, PARKWISE_DOMAINS} from './plans.js';
 
 const DAEMONS = 8;
-const FLOWS_A_SERVER = 200;
-const OPEN_RATE = 800;
+const FLOWS_PER_SERVER = 200;
+const OPENS_PER_SECOND = 800;
 const REQUEST_SECONDS = 15;
 const SETTLE_MS = 4_000;
-const TOOL = path.resolve(
+const CLI_PATH = path.resolve(
   path.dirname(fileURLToPath(import.meta.url)),
   '../src/cli/main.js',
 );
 const run = promisify(execFile);
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-/** Runs the operators' tool and returns what it prints. */
-async function tool(cluster: Cluster, ...args: string[]): Promise<string> {
+/** Runs the `weldyard` command line and returns its output. */
+async function runCli(cluster: Cluster, ...args: string[]): Promise<string> {
   const {stdout} = await run(process.execPath, [
-    TOOL,
+    CLI_PATH,
     ...args,
     '--config',
-    cluster.toolSettings,
+    cluster.cliSettingsFile,
   ]);
   return stdout.trim();
 }
 
-/** Sends a line through a daemon's stream entry; resolves with the echo. */
+/** Sends a line over TCP through a daemon; resolves with the echoed text. */
 function echo(address: string, line: string): Promise<string> {
   const [host, port] = address.split(':');
   return new Promise((resolve, reject) => {
@@ -55,9 +55,11 @@
 }
 
 async function main(): Promise<void> {
-  const keep = process.argv.includes('--keep');
+  const keepRunning = process.argv.includes('--keep');
   const services = [METERPAY, HANDHELD];
-  say(`starting ${DAEMONS} daemons, 13 backend servers and the platform ...`);
+  print(
+    `starting ${DAEMONS} daemons, 13 backend servers and the emulated platform ...`,
+  );
   const cluster = await Cluster.create({
     daemons: DAEMONS,
     domains: PARKWISE_DOMAINS,
@@ -65,8 +67,8 @@
     seed: 1,
   });
   const failures: string[] = [];
-  await applyWithTool(cluster);
-  await tryStream(cluster, failures);
+  await applyWithCli(cluster);
+  await checkStream(cluster, failures);
   await openFlows(cluster, services);
   await startRequests(cluster, services);
   await replaceDaemon(cluster, failures);
@@ -74,30 +76,35 @@
   await pause(SETTLE_MS);
   await finishRequests(cluster);
   await printResults(cluster, services, failures);
-  if (keep) {
-    await stayUp(cluster);
+  if (keepRunning) {
+    await waitForInterrupt(cluster);
   }
   await cluster.close();
-  failures.forEach(failure => say(`FAILED: ${failure}`));
-  say(
+  failures.forEach(failure => print(`FAILED: ${failure}`));
+  print(
     failures.length === 0 ? 'every promise was kept' : 'a promise was broken',
   );
   process.exit(failures.length === 0 ? 0 : 1);
 }
 
-async function applyWithTool(cluster: Cluster): Promise<void> {
-  say('weldyard apply --wait (templates and workspace parameters):');
-  say(
-    `  ${await tool(cluster, 'apply', '--wait', ...cluster.configurationFiles)}`,
+async function applyWithCli(cluster: Cluster): Promise<void> {
+  print('weldyard apply --wait (templates and workspace parameters):');
+  print(
+    `  ${await runCli(cluster, 'apply', '--wait', ...cluster.configurationFiles)}`,
   );
 }
 
-async function tryStream(cluster: Cluster, failures: string[]): Promise<void> {
+async function checkStream(
+  cluster: Cluster,
+  failures: string[],
+): Promise<void> {
   const [first] = [...cluster.daemons.values()];
   const answer = await echo(first.stream, 'hello over TCP');
-  say(`a TCP connection through ${first.id}: sent and got back "${answer}"`);
+  print(`a TCP connection through ${first.id}: sent and got back "${answer}"`);
   if (answer !== 'hello over TCP') {
-    failures.push('the TCP connection was not carried whole');
+    failures.push(
+      `the TCP connection echoed "${answer}" instead of "hello over TCP"`,
+    );
   }
 }
 
@@ -105,25 +112,27 @@
   cluster: Cluster,
   services: readonly ServicePlan[],
 ): Promise<void> {
-  say('opening long flows through the spraying fabric ...');
+  print(
+    'opening long-lived flows; the fabric sends each packet to any daemon ...',
+  );
   await cluster.fabric.turn({reorder: 0.02, duplicate: 0.01});
   const report = await cluster.openFlows(
     services.map(plan => ({
       service: `${plan.workspace}/${plan.service}`,
       address: plan.address,
-      count: plan.servers * FLOWS_A_SERVER,
-      rate: OPEN_RATE,
+      count: plan.servers * FLOWS_PER_SERVER,
+      rate: OPENS_PER_SECOND,
     })),
   );
   const flows = report.services.reduce((sum, {flows: own}) => sum + own, 0);
-  say(`  ${flows} flows are open; 2% of packets reordered, 1% duplicated`);
+  print(`  ${flows} flows are open; 2% of packets reordered, 1% duplicated`);
 }
 
 async function startRequests(
   cluster: Cluster,
   services: readonly ServicePlan[],
 ): Promise<void> {
-  say(`sending requests for ${REQUEST_SECONDS} s ...`);
+  print(`sending requests for ${REQUEST_SECONDS} s ...`);
   await Promise.all(
     services.map(plan =>
       cluster.sendRequests({
@@ -144,20 +153,20 @@
   failures: string[],
 ): Promise<void> {
   const [first] = [...cluster.daemons.values()];
-  const fresh = cluster.startDaemon(first.domain);
+  const replacement = cluster.startDaemon(first.domain);
   await cluster.waitReady();
-  say(`${fresh.id} joined; stopping ${first.id} in the planned way ...`);
+  print(`${replacement.id} joined; stopping ${first.id} with SIGTERM ...`);
   const code = await cluster.stopDaemon(first.id);
-  say(`  ${first.id} left with exit code ${code}`);
+  print(`  ${first.id} exited with code ${code}`);
   if (code !== 0) {
-    failures.push(`${first.id} did not stop cleanly`);
+    failures.push(`${first.id} stopped with exit code ${code}`);
   }
 }
 
 async function drainServer(cluster: Cluster): Promise<void> {
-  const [server] = cluster.serversOf('parkwise/meterpay');
-  await cluster.backend(server, {draining: true});
-  say(`backend server ${server} drains; opening more flows meanwhile ...`);
+  const [server] = cluster.listServers('parkwise/meterpay');
+  await cluster.controlBackend(server, {draining: true});
+  print(`draining backend server ${server} and opening more flows ...`);
   await pause(3_000);
   await cluster.openFlows([
     {
@@ -170,8 +179,8 @@
 }
 
 async function finishRequests(cluster: Cluster): Promise<void> {
-  await cluster.waitUntil('requests have ended', async () => {
-    const {pending, reports} = await cluster.requests();
+  await cluster.waitFor('requests have ended', async () => {
+    const {pending, reports} = await cluster.readRequestReports();
     const sent = reports.reduce((sum, {requests}) => sum + requests, 0);
     return pending === 0 && sent >= REQUEST_SECONDS * 2 * 100;
   });
@@ -182,41 +191,49 @@
   services: readonly ServicePlan[],
   failures: string[],
 ): Promise<void> {
-  const flows = await cluster.flows();
-  const requests = await cluster.requests();
+  const flows = await cluster.controlFlowCallers();
+  const requests = await cluster.readRequestReports();
   const rows = await Promise.all(
     services.map(async plan => {
       const name = `${plan.workspace}/${plan.service}`;
-      const backends = await cluster.backendReports(name);
+      const backends = await cluster.readBackendReports(name);
       const flow = flows.services.find(({service}) => service === name);
       const request = requests.reports.find(
         ({service}) => service === plan.service,
       );
       const broken = flow?.states['broken'] ?? 0;
-      const misrouted = sumOf(backends, report => report.misrouted);
-      const doubleRuns = sumOf(backends, report => report.doubleRuns);
-      const lateOpens = Math.max(
+      const misrouted = sumReports(backends, report => report.misrouted);
+      const doubleRuns = sumReports(backends, report => report.doubleRuns);
+      const latestOpenMs = Math.max(
         0,
         ...backends.map(report => report.latestOpenAfterDrainMs),
       );
-      check(broken === 0, `${name}: ${broken} broken flows`, failures);
-      check(misrouted === 0, `${name}: ${misrouted} misrouted`, failures);
-      check(
+      recordFailureUnless(
+        broken === 0,
+        `${name}: ${broken} broken flows`,
+        failures,
+      );
+      recordFailureUnless(
+        misrouted === 0,
+        `${name}: ${misrouted} misrouted packets`,
+        failures,
+      );
+      recordFailureUnless(
         plan.repeatable || doubleRuns === 0,
-        `${name}: ${doubleRuns} double runs`,
+        `${name}: ${doubleRuns} requests ran more than once`,
         failures,
       );
-      check(
+      recordFailureUnless(
         (request?.wrongAnswers ?? 0) + (request?.partialAnswers ?? 0) === 0,
         `${name}: wrong or partial answers`,
         failures,
       );
-      check(
-        lateOpens <= 3_000,
-        `${name}: a flow opened ${lateOpens} ms after the drain`,
+      recordFailureUnless(
+        latestOpenMs <= 3_000,
+        `${name}: a flow opened ${latestOpenMs} ms after the drain began`,
         failures,
       );
-      const imbalance = imbalanceOf(
+      const imbalance = computeImbalance(
         backends.map(report => report.opened),
       ).maxOverMean;
       return [
@@ -232,8 +249,8 @@
       ];
     }),
   );
-  say('');
-  say(
+  print('');
+  print(
     formatTable([
       [
         'service',
@@ -249,23 +266,27 @@
       ...rows,
     ]),
   );
-  say('');
-  say(await tool(cluster, 'status'));
+  print('');
+  print(await runCli(cluster, 'status'));
 }
 
-function check(holds: boolean, failure: string, failures: string[]): void {
+function recordFailureUnless(
+  holds: boolean,
+  failure: string,
+  failures: string[],
+): void {
   if (!holds) {
     failures.push(failure);
   }
 }
 
-async function stayUp(cluster: Cluster): Promise<void> {
-  say('');
-  say(`weldyard --config ${cluster.toolSettings} status`);
+async function waitForInterrupt(cluster: Cluster): Promise<void> {
+  print('');
+  print(`weldyard --config ${cluster.cliSettingsFile} status`);
   cluster.daemons.forEach(({id, stream, requests}) =>
-    say(`${id}: curl http://${stream}/   requests (gRPC) at ${requests}`),
+    print(`${id}: curl http://${stream}/   requests (gRPC) at ${requests}`),
   );
-  say('running until interrupted');
+  print('running until interrupted');
   await new Promise<void>(resolve => process.once('SIGINT', resolve));
 }
 
--- a/bench/experiment.ts
+++ b/bench/experiment.ts
@@ -1,4 +1,4 @@
-/** The experiment tool: `npm run experiment -- NAME [--seed N] [--json]`. */
+/** Runs one experiment: `npm run experiment -- NAME [--seed N] [--json]`. */
 import {writeFileSync} from 'node:fs';
 import path from 'node:path';
 import {cac} from 'cac';
@@ -10,7 +10,7 @@
 import {configStorm} from './experiments/config-storm.js';
 import {crash} from './experiments/crash.js';
 import {domainLoss} from './experiments/domain-loss.js';
-import type {Experiment, Findings} from './experiments/experiment.js';
+import type {Experiment, ExperimentResult} from './experiments/experiment.js';
 import {fairness} from './experiments/fairness.js';
 import {forwarding} from './experiments/forwarding.js';
 import {imbalance} from './experiments/imbalance.js';
@@ -23,11 +23,11 @@
 import {storeOutage} from './experiments/store-outage.js';
 import {tables} from './experiments/tables.js';
 
-const LIMIT_MS = 120_000;
-const LONG_LIMIT_MS = 900_000;
+const TIME_LIMIT_MS = 120_000;
+const LONG_TIME_LIMIT_MS = 900_000;
 const DEFAULT_SEED = 1;
-const EXIT_BROKEN = 1;
-const EXIT_WRONG_USE = 2;
+const EXIT_FAILURE = 1;
+const EXIT_USAGE = 2;
 
 const EXPERIMENTS: readonly Experiment[] = [
   rollingReplace,
@@ -59,76 +59,79 @@
 
 const clusters: Cluster[] = [];
 
-function say(text: string): void {
+function log(text: string): void {
   process.stderr.write(`${text}\n`);
 }
 
-/** Ends all processes; what happened is kept when something went wrong. */
-async function end(code: number): Promise<never> {
+/** Stops all clusters and exits; writes their time lines after a failure. */
+async function shutDown(code: number): Promise<never> {
   if (code !== 0) {
-    await Promise.all(clusters.map(keepTimeline));
+    await Promise.all(clusters.map(writeTimeline));
   }
   await Promise.all(clusters.map(cluster => cluster.close()));
   process.exit(code);
 }
 
-async function keepTimeline(cluster: Cluster): Promise<void> {
+async function writeTimeline(cluster: Cluster): Promise<void> {
   const events = mergeEvents(await cluster.timeline(), {contains: []});
   const file = path.join(cluster.folder, 'timeline.html');
   writeFileSync(file, drawPage(events));
-  say(`time line of ${events.length} events: ${file}`);
+  log(`wrote time line of ${events.length} events to ${file}`);
 }
 
 async function runExperiment(
   experiment: Experiment,
   options: Options,
 ): Promise<never> {
-  const limit = options.long === true ? LONG_LIMIT_MS : LIMIT_MS;
+  const limit = options.long === true ? LONG_TIME_LIMIT_MS : TIME_LIMIT_MS;
   setTimeout(() => {
-    say(`${experiment.name} did not end within ${limit / 1_000} s`);
-    void end(EXIT_BROKEN);
+    log(`${experiment.name} timed out after ${limit / 1_000} s`);
+    void shutDown(EXIT_FAILURE);
   }, limit).unref();
   const seed = Number(options.seed ?? DEFAULT_SEED);
-  const findings = await experiment.run({
+  const result = await experiment.run({
     seed,
-    say: text => say(`${experiment.name}: ${text}`),
-    use: cluster => {
+    log: text => log(`${experiment.name}: ${text}`),
+    registerCluster: cluster => {
       clusters.push(cluster);
       return cluster;
     },
   });
-  report(experiment, seed, findings, options);
-  return end(findings.broken.length === 0 ? 0 : EXIT_BROKEN);
+  report(experiment, seed, result, options);
+  return shutDown(result.failures.length === 0 ? 0 : EXIT_FAILURE);
 }
 
 function report(
   experiment: Experiment,
   seed: number,
-  findings: Findings,
+  result: ExperimentResult,
   options: Options,
 ): void {
-  findings.broken.forEach(text => say(`BROKEN: ${text}`));
-  if (options.out !== undefined && findings.picture !== undefined) {
-    writeFileSync(options.out, findings.picture);
-    say(`picture: ${options.out}`);
+  result.failures.forEach(text => log(`FAILED: ${text}`));
+  if (options.out !== undefined && result.picture !== undefined) {
+    writeFileSync(options.out, result.picture);
+    log(`wrote picture to ${options.out}`);
   }
-  const result = {
+  const output = {
     experiment: experiment.name,
     seed,
-    ...findings.figures,
-    broken: findings.broken,
+    ...result.figures,
+    broken: result.failures,
   };
   const indent = options.json === true ? undefined : 2;
-  process.stdout.write(`${JSON.stringify(result, null, indent)}\n`);
+  process.stdout.write(`${JSON.stringify(output, null, indent)}\n`);
 }
 
 function main(): void {
   const program = cac('experiment');
   program.option('--list', 'list the experiments');
-  program.option('--seed <number>', 'seed of random numbers');
+  program.option('--seed <number>', 'seed of the random number generators');
   program.option('--json', 'print one JSON object as the last line');
-  program.option('--out <file>', 'draw into FILE.svg');
-  program.option('--long', 'allow fifteen minutes instead of two');
+  program.option(
+    '--out <file>',
+    'write the picture, if there is one, to FILE (SVG)',
+  );
+  program.option('--long', 'set the time limit to 15 minutes instead of 2');
   program.help();
   const {args, options} = program.parse(process.argv, {run: false});
   const settings = options as Options & {help?: boolean};
@@ -143,12 +146,12 @@
   }
   const found = EXPERIMENTS.find(({name}) => name === args[0]);
   if (found === undefined) {
-    say(`no experiment "${args[0] ?? ''}"; --list names them`);
-    process.exit(EXIT_WRONG_USE);
+    log(`no experiment named "${args[0] ?? ''}"; use --list to show all`);
+    process.exit(EXIT_USAGE);
   }
   runExperiment(found, settings).catch((error: unknown) => {
-    say(String(error instanceof Error ? error.stack : error));
-    void end(EXIT_BROKEN);
+    log(String(error instanceof Error ? error.stack : error));
+    void shutDown(EXIT_FAILURE);
   });
 }
 
--- a/bench/experiments/binding.ts
+++ b/bench/experiments/binding.ts
@@ -1,8 +1,7 @@
 /**
- * Late binding beside three ways to bind a request to a server at once, in
- * virtual time: eight daemons before ten servers of three slots. The servers
- * shed what they cannot run, as the users' do; the three ways then try another
- * server, three in all. For comparison they also run before servers that queue.
+ * Compares late binding of requests with three policies that bind on arrival, in
+ * virtual time. The latter run with servers that shed requests when all slots are
+ * busy, with up to three attempts, and with servers that queue them.
  */
 import {Dispatcher} from '../../src/admission/dispatcher.js';
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
@@ -18,29 +17,29 @@
 import {FakeClock} from '../../standins/fake-clock.js';
 import {MemoryCounters} from '../../src/adapters/memory-counters.js';
 import {Random} from '../../src/routing/random.js';
-import {imbalanceOf, round} from '../measures.js';
+import {computeImbalance, round} from '../measures.js';
 import type {Experiment} from './experiment.js';
 
 const DAEMONS = 8;
 const SERVERS = 10;
 const SLOTS = 3;
 const SERVICE_MS = 100;
-const LOAD = 0.7;
+const LOAD_FACTOR = 0.7;
 const REQUESTS = 6_000;
 const DEADLINE_MS = 60_000;
-const NETWORK_MS = 1;
-const LAGS_MS = [0, 1_000, 5_000];
+const NETWORK_DELAY_MS = 1;
+const REPORT_LAGS_MS = [0, 1_000, 5_000];
 const STEP_MS = 5;
-const TRIES = 3;
-const MICROSECONDS = 1_000;
+const MAX_ATTEMPTS = 3;
+const MICROSECONDS_PER_MS = 1_000;
 
-type Binding = 'late' | 'random' | 'two-choices' | 'least-outstanding';
+type BindingPolicy = 'late' | 'random' | 'two-choices' | 'least-outstanding';
 
-/** Servers in virtual time; with a queue they never refuse. */
-class QueueingServers extends BackendServers {
+/** Servers in virtual time that either queue or shed requests when full. */
+class SimulatedServers extends BackendServers {
   readonly served = new Array<number>(SERVERS).fill(0);
   readonly load = new Array<number>(SERVERS).fill(0);
-  private readonly waiting: (() => void)[][] = Array.from(
+  private readonly queued: (() => void)[][] = Array.from(
     {length: SERVERS},
     () => [],
   );
@@ -65,7 +64,7 @@
   ): ResultAsync<RunReply, BackendFailure> {
     const index = Number(server);
     const served = new Promise<RunReply>(resolve => {
-      this.clock.callAt(this.clock.now() + NETWORK_MS, () =>
+      this.clock.callAt(this.clock.now() + NETWORK_DELAY_MS, () =>
         this.arrive(index, request, resolve),
       );
     });
@@ -84,7 +83,7 @@
     }
     this.load[index] += 1;
     if (full) {
-      this.waiting[index].push(() => this.serve(index, request, answer));
+      this.queued[index].push(() => this.serve(index, request, answer));
     } else {
       this.serve(index, request, answer);
     }
@@ -100,7 +99,7 @@
       this.load[index] -= 1;
       this.served[index] += 1;
       answer(this.reply(index, request, true));
-      this.waiting[index].shift()?.();
+      this.queued[index].shift()?.();
     });
   }
 
@@ -116,51 +115,53 @@
   }
 }
 
-/** p50, p99 and imbalance of each way and lag of the load reports. */
+/** Reports latency and imbalance by policy and age of the load reports. */
 export const binding: Experiment = {
   name: 'binding',
-  summary: 'late binding beside random, two choices and least outstanding',
+  summary: 'late binding compared with random, two choices, least outstanding',
   run: async context => {
     const hasher = await XxhashHasher.create();
     const cases: object[] = [];
-    const ways: (readonly [Binding, number])[] = [
+    const immediatePolicies: (readonly [BindingPolicy, number])[] = [
       ['random', 0],
       ['least-outstanding', 0],
-      ...LAGS_MS.map(lag => ['two-choices', lag] as const),
+      ...REPORT_LAGS_MS.map(lag => ['two-choices', lag] as const),
     ];
-    const settings: (readonly [Binding, number, boolean])[] = [
+    const settings: (readonly [BindingPolicy, number, boolean])[] = [
       ['late', 0, false],
-      ...ways.map(([way, lag]) => [way, lag, false] as const),
-      ...ways.map(([way, lag]) => [way, lag, true] as const),
+      ...immediatePolicies.map(
+        ([policy, lag]) => [policy, lag, false] as const,
+      ),
+      ...immediatePolicies.map(([policy, lag]) => [policy, lag, true] as const),
     ];
-    await settings.reduce(async (earlier, [way, lagMs, queues]) => {
+    await settings.reduce(async (earlier, [policy, lagMs, queues]) => {
       await earlier;
-      const result = await runCase(hasher, context.seed, way, lagMs, queues);
-      const row = {binding: way, lagMs, serversQueue: queues, ...result};
-      context.say(JSON.stringify(row));
+      const result = await runCase(hasher, context.seed, policy, lagMs, queues);
+      const row = {binding: policy, lagMs, serversQueue: queues, ...result};
+      context.log(JSON.stringify(row));
       cases.push(row);
     }, Promise.resolve());
-    return {figures: {cases}, broken: []};
+    return {figures: {cases}, failures: []};
   },
 };
 
 async function runCase(
   hasher: Hasher,
   seed: number,
-  way: Binding,
+  policy: BindingPolicy,
   lagMs: number,
   queues: boolean,
 ) {
   const clock = FakeClock.create();
   const random = Random.create(seed);
-  const servers = new QueueingServers(clock, random, queues);
+  const servers = new SimulatedServers(clock, random, queues);
   const histogram = build({numberOfSignificantValueDigits: 3});
   const daemons = Array.from({length: DAEMONS}, (_, daemon) =>
-    way === 'late'
-      ? createLate(hasher, clock, servers, daemon)
-      : createEarly(clock, random, servers, way, lagMs),
+    policy === 'late'
+      ? createLateBinding(hasher, clock, servers, daemon)
+      : createEarlyBinding(clock, random, servers, policy, lagMs),
   );
-  const rate = (SERVERS * SLOTS * 1_000 * LOAD) / SERVICE_MS;
+  const rate = (SERVERS * SLOTS * 1_000 * LOAD_FACTOR) / SERVICE_MS;
   let sent = 0;
   const startMs = clock.now();
   while (sent < REQUESTS) {
@@ -171,7 +172,7 @@
       const began = clock.now();
       void daemons[random.below(DAEMONS)](`key-${sent}`).then(answered => {
         if (answered) {
-          histogram.recordValue((clock.now() - began) * MICROSECONDS);
+          histogram.recordValue((clock.now() - began) * MICROSECONDS_PER_MS);
         }
       });
     });
@@ -179,19 +180,19 @@
   await clock.advance(20_000);
   return {
     answeredShare: round(histogram.totalCount / REQUESTS),
-    p50: round(histogram.getValueAtPercentile(50) / MICROSECONDS),
-    p99: round(histogram.getValueAtPercentile(99) / MICROSECONDS),
-    imbalance: imbalanceOf(servers.served),
+    p50: round(histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS),
+    p99: round(histogram.getValueAtPercentile(99) / MICROSECONDS_PER_MS),
+    imbalance: computeImbalance(servers.served),
   };
 }
 
-/** Sends one request; whether it was answered. */
+/** Sends one request; resolves with whether it was answered. */
 type Send = (key: string) => Promise<boolean>;
 
-function createLate(
+function createLateBinding(
   hasher: Hasher,
   clock: FakeClock,
-  backends: QueueingServers,
+  servers: SimulatedServers,
   daemon: number,
 ): Send {
   const dispatcher = Dispatcher.create({
@@ -199,7 +200,7 @@
     clock,
     hasher,
     counters: MemoryCounters.create(),
-    backends,
+    backends: servers,
     queueBound: 10_000,
     retryShare: 0.05,
   });
@@ -222,20 +223,20 @@
   };
 }
 
-/** Binds at arrival; the server queues. */
-function createEarly(
+/** Selects a server on arrival; retries on another choice when it sheds. */
+function createEarlyBinding(
   clock: FakeClock,
   random: Random,
-  backends: QueueingServers,
-  way: Binding,
+  servers: SimulatedServers,
+  policy: BindingPolicy,
   lagMs: number,
 ): Send {
   const outstanding = new Array<number>(SERVERS).fill(0);
-  let reported = [...backends.load];
+  let reported = [...servers.load];
   let reportedAt = -Infinity;
   const report = () => {
     if (clock.now() - reportedAt >= lagMs) {
-      reported = [...backends.load];
+      reported = [...servers.load];
       reportedAt = clock.now();
     }
     return reported;
@@ -246,20 +247,20 @@
     );
   const choose = (): number => {
     const first = random.below(SERVERS);
-    if (way === 'random') {
+    if (policy === 'random') {
       return first;
     }
-    return way === 'two-choices'
+    return policy === 'two-choices'
       ? least(report(), [first, random.below(SERVERS)])
       : least(
           outstanding,
           Array.from({length: SERVERS}, (_, i) => (first + i) % SERVERS),
         );
   };
-  const send = async (key: string, tries: number): Promise<boolean> => {
+  const send = async (key: string, attemptsLeft: number): Promise<boolean> => {
     const server = choose();
     outstanding[server] += 1;
-    const result = await backends.run(String(server), {
+    const result = await servers.run(String(server), {
       workspace: 'w',
       service: 's',
       key,
@@ -270,7 +271,7 @@
     });
     outstanding[server] -= 1;
     const started = result.isOk() && result.value.started;
-    return started || (tries > 1 && send(key, tries - 1));
+    return started || (attemptsLeft > 1 && send(key, attemptsLeft - 1));
   };
-  return key => send(key, TRIES);
+  return key => send(key, MAX_ATTEMPTS);
 }
--- a/bench/experiments/capacity.ts
+++ b/bench/experiments/capacity.ts
@@ -1,4 +1,4 @@
-/** Slopes of state, messages and time, worked out at the target size. */
+/** Measures resource use at small sizes and extrapolates it to the target size. */
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
 import {
   EMPTY_DOCUMENT,
@@ -21,10 +21,10 @@
 import {Cluster, pause} from '../cluster.js';
 import {fitLine, round} from '../measures.js';
 import {HANDHELD, PARKWISE_DOMAINS} from '../plans.js';
-import {usageOf} from '../process-usage.js';
+import {readProcessUsage} from '../process-usage.js';
 import type {Experiment, ExperimentContext} from './experiment.js';
 
-/** The target, from the users' letter. */
+/** Size and rates to extrapolate to. */
 const TARGET = {
   daemons: 2_900,
   servers: 32_000,
@@ -32,18 +32,20 @@
   openFlows: 100_000_000,
   newFlowsPerSecond: 120_000,
   failureDomains: 18,
-  editsADay: 2_900,
-  replacementsADay: 5_600,
+  editsPerDay: 2_900,
+  replacementsPerDay: 5_600,
 } as const;
+/** Limits per daemon, except for the time until an edit is in effect. */
 const LIMITS = {
   cpuShare: 0.047,
   memoryMb: 256,
   controlBytesPerSecond: 4_000,
   inForceMs: 8_000,
 } as const;
-const SECONDS_A_DAY = 86_400;
-const MEGABYTE = 1_000_000;
-const SERVERS_AN_ADDRESS = 11;
+const SECONDS_PER_DAY = 86_400;
+const BYTES_PER_MEGABYTE = 1_000_000;
+const SERVERS_PER_ADDRESS = 11;
+/** Share of open flows that need an entry in the flow table. */
 const EXCEPTION_SHARE = 0.1;
 const FLEET_SIZES = [8, 16, 32, 64];
 const CLUSTER_SIZES = [8, 16, 32];
@@ -51,10 +53,10 @@
 
 type Point = readonly [number, number];
 
-/** Measured slopes and the values at the target size. */
+/** Reports measurements, slopes and the values extrapolated to the target. */
 export const capacity: Experiment = {
   name: 'capacity',
-  summary: 'slopes of state, messages and time, worked out at target size',
+  summary: 'memory, messages and time, extrapolated to the target size',
   run: async context => {
     const hasher = await XxhashHasher.create();
     const configuration = await measureConfiguration(context, hasher);
@@ -62,23 +64,29 @@
     const fleets = await measureFleets(context, hasher);
     const clusters = await measureClusters(context);
     const handover = await measureHandover(context, hasher);
-    const figures = atTarget(configuration, flows, fleets, clusters, handover);
+    const figures = extrapolateToTarget(
+      configuration,
+      flows,
+      fleets,
+      clusters,
+      handover,
+    );
     return {
       figures: {
         ...figures,
         measured: {configuration, flows, fleets, clusters, handover},
         limits: LIMITS,
       },
-      broken: [],
+      failures: [],
     };
   },
 };
 
-/** A document with a number of addresses, 11 servers each. */
-function documentOf(addresses: number): ConfigurationDocument {
+/** Creates a document with one service and 11 servers per address. */
+function createDocument(addresses: number): ConfigurationDocument {
   const workspaces = Array.from({length: addresses}, (_, index) => {
     const servers = Array.from(
-      {length: SERVERS_AN_ADDRESS},
+      {length: SERVERS_PER_ADDRESS},
       (__, server) =>
         `servers[] = 10.${100 + (index >> 8)}.${index & 255}.${server + 1}:9000`,
     );
@@ -111,7 +119,7 @@
   hasher: Hasher,
 ) {
   const points = [100, 300, 1_000, 3_000].map(addresses => {
-    const document = documentOf(addresses);
+    const document = createDocument(addresses);
     const bytes = encodeDocument(document);
     const decodeStart = performance.now();
     const compiled = decodeDocument(bytes)
@@ -133,7 +141,7 @@
     const rebuildStart = performance.now();
     router.stage(compiled.routing, ServerMarks.create());
     const rebuildMs = performance.now() - rebuildStart;
-    context.say(`${addresses} addresses: ${bytes.length} bytes`);
+    context.log(`${addresses} addresses: ${bytes.length} bytes`);
     return {
       addresses,
       documentBytes: bytes.length,
@@ -148,7 +156,7 @@
   return {
     points,
     documentBytesAtTarget: largest.documentBytes,
-    tableMbAtTarget: round(largest.tableBytes / MEGABYTE),
+    tableMbAtTarget: round(largest.tableBytes / BYTES_PER_MEGABYTE),
     millisecondsAnEdit: round(largest.readMs + largest.rebuildMs),
   };
 }
@@ -176,7 +184,7 @@
   return {points, bytesPerException: round(fitLine(points).slope)};
 }
 
-/** Probe bytes a daemon in virtual time, headers included. */
+/** Measures probe bytes per second and daemon in virtual time, headers included. */
 async function measureFleets(context: ExperimentContext, hasher: Hasher) {
   const points: Point[] = [];
   await FLEET_SIZES.reduce(async (earlier, size) => {
@@ -186,7 +194,7 @@
     await fleet.clock.advance(10_000);
     const bytes = fleet.network.sentBytes.probes - before;
     points.push([size, Math.round(bytes / 10 / size)]);
-    context.say(`fleet of ${size}: ${points[points.length - 1][1]} bytes/s`);
+    context.log(`fleet of ${size}: ${points[points.length - 1][1]} bytes/s`);
   }, Promise.resolve());
   return {points, probeBytes: fitLine(points.slice(-2))};
 }
@@ -234,7 +242,7 @@
   return fleet;
 }
 
-/** Bytes handed over when one of eight daemons leaves. */
+/** Measures the bytes of flow entries sent when one of eight daemons leaves. */
 async function measureHandover(context: ExperimentContext, hasher: Hasher) {
   const points: Point[] = [];
   await [10_000, 20_000, 40_000].reduce(async (earlier, flows) => {
@@ -261,12 +269,12 @@
     await fleet.clock.advance(2_000);
     const bytes = fleet.network.sentBytes.entries - before;
     points.push([flows, bytes]);
-    context.say(`handover with ${flows} flows: ${bytes} bytes`);
+    context.log(`handover with ${flows} flows: ${bytes} bytes`);
   }, Promise.resolve());
   return {points, bytesPerOpenFlow: round(fitLine(points).slope)};
 }
 
-/** Real daemons: store calls, processor, memory, time to be in force. */
+/** Measures store calls, processor time, memory and edits on daemon processes. */
 async function measureClusters(context: ExperimentContext) {
   const points: {
     daemons: number;
@@ -278,7 +286,7 @@
   }[] = [];
   await CLUSTER_SIZES.reduce(async (earlier, daemons) => {
     await earlier;
-    const cluster = context.use(
+    const cluster = context.registerCluster(
       await Cluster.create({
         daemons,
         domains: PARKWISE_DOMAINS,
@@ -287,51 +295,51 @@
       }),
     );
     await pause(4_000);
-    const before = await snapshot(cluster);
+    const before = await readUsage(cluster);
     await pause(6_000);
-    const after = await snapshot(cluster);
+    const after = await readUsage(cluster);
     const rate = (name: keyof typeof after) => (after[name] - before[name]) / 6;
     points.push({
       daemons,
       storeCallsPerSecond: round(rate('storeCalls')),
       listReadsPerSecond: round(rate('listReads')),
       cpuShare: round(rate('cpu') / daemons),
-      residentMb: Math.round(after.resident / daemons / MEGABYTE),
+      residentMb: Math.round(after.resident / daemons / BYTES_PER_MEGABYTE),
       inForceMs: await measureInForce(cluster),
     });
-    context.say(JSON.stringify(points[points.length - 1]));
+    context.log(JSON.stringify(points[points.length - 1]));
     await cluster.close();
   }, Promise.resolve());
   return {points};
 }
 
-async function snapshot(cluster: Cluster) {
+async function readUsage(cluster: Cluster) {
   const usages = [...cluster.daemons.keys()].map(id =>
-    usageOf(cluster.processes.get(id)?.child.pid ?? 0),
+    readProcessUsage(cluster.processes.get(id)?.child.pid ?? 0),
   );
   return {
     storeCalls: (await cluster.store.turn<{calls: number}>()).calls,
-    listReads: (await cluster.list.turn<{reads: number}>()).reads,
+    listReads: (await cluster.instanceList.turn<{reads: number}>()).reads,
     cpu: usages.reduce((sum, {cpuSeconds}) => sum + cpuSeconds, 0),
     resident: usages.reduce((sum, {residentBytes}) => sum + residentBytes, 0),
   };
 }
 
-/** Time from an accepted edit until every daemon opens flows by it. */
+/** Returns the milliseconds from sending an edit until it is in effect everywhere. */
 async function measureInForce(cluster: Cluster): Promise<number> {
-  const servers = cluster.serversOf('parkwise/handheld-docs');
+  const servers = cluster.listServers('parkwise/handheld-docs');
   const startMs = Date.now();
-  const edit = cluster.configuration(servers.slice(0, 1));
+  const edit = cluster.createConfiguration(servers.slice(0, 1));
   const revision = await cluster.apply('bench', edit);
-  await cluster.waitUntil('the edit is in force', async () => {
-    const statuses = await cluster.statuses();
+  await cluster.waitFor('the edit is in effect', async () => {
+    const statuses = await cluster.readStatuses();
     return statuses.every(status => status.revision >= revision);
   });
   return Date.now() - startMs;
 }
 
-/** The sums of docs/CAPACITY.md. */
-function atTarget(
+/** Extrapolates the measurements to `TARGET`, as docs/CAPACITY.md explains. */
+function extrapolateToTarget(
   configuration: Awaited<ReturnType<typeof measureConfiguration>>,
   flows: ReturnType<typeof measureFlows>,
   fleets: Awaited<ReturnType<typeof measureFleets>>,
@@ -339,24 +347,28 @@
   handover: Awaited<ReturnType<typeof measureHandover>>,
 ) {
   const {daemons} = TARGET;
-  const flowsADaemon = TARGET.openFlows / daemons;
-  const exceptions = flowsADaemon * EXCEPTION_SHARE * 2;
+  const flowsPerDaemon = TARGET.openFlows / daemons;
+  const exceptions = flowsPerDaemon * EXCEPTION_SHARE * 2;
   const base = clusters.points[0].residentMb;
   const memoryMb =
     base +
     configuration.tableMbAtTarget +
-    (exceptions * flows.bytesPerException) / MEGABYTE;
+    (exceptions * flows.bytesPerException) / BYTES_PER_MEGABYTE;
   const editBytes =
-    (configuration.documentBytesAtTarget * TARGET.editsADay) / SECONDS_A_DAY;
+    (configuration.documentBytesAtTarget * TARGET.editsPerDay) /
+    SECONDS_PER_DAY;
   const probeBytes =
     fleets.probeBytes.intercept + fleets.probeBytes.slope * daemons;
   const handoverBytes =
-    (handover.bytesPerOpenFlow * flowsADaemon * TARGET.replacementsADay * 8) /
-    SECONDS_A_DAY /
+    (handover.bytesPerOpenFlow *
+      flowsPerDaemon *
+      TARGET.replacementsPerDay *
+      8) /
+    SECONDS_PER_DAY /
     daemons;
   const editCpu =
-    (configuration.millisecondsAnEdit * TARGET.editsADay) /
-    SECONDS_A_DAY /
+    (configuration.millisecondsAnEdit * TARGET.editsPerDay) /
+    SECONDS_PER_DAY /
     1_000;
   const cpuShare =
     Math.max(...clusters.points.map(({cpuShare: own}) => own)) + editCpu;
@@ -368,15 +380,15 @@
   );
   const inForceMs = inForce.intercept + inForce.slope * daemons;
   return {
-    cpuShare: share(cpuShare, LIMITS.cpuShare),
-    memoryMb: share(memoryMb, LIMITS.memoryMb),
+    cpuShare: compareWithLimit(cpuShare, LIMITS.cpuShare),
+    memoryMb: compareWithLimit(memoryMb, LIMITS.memoryMb),
     controlBytesPerSecond: {
-      ...share(controlBytes, LIMITS.controlBytesPerSecond),
+      ...compareWithLimit(controlBytes, LIMITS.controlBytesPerSecond),
       probes: Math.round(probeBytes),
       edits: Math.round(editBytes),
       replacements: Math.round(handoverBytes),
     },
-    inForceMs: share(inForceMs, LIMITS.inForceMs),
+    inForceMs: compareWithLimit(inForceMs, LIMITS.inForceMs),
     storeCallsPerSecond: {
       value: round(perDomain * TARGET.failureDomains),
       measured: first.storeCallsPerSecond,
@@ -384,6 +396,6 @@
   };
 }
 
-function share(value: number, limit: number) {
+function compareWithLimit(value: number, limit: number) {
   return {value: round(value), shareOfLimit: round(value / limit)};
 }
--- a/bench/experiments/config-spread.ts
+++ b/bench/experiments/config-spread.ts
@@ -1,25 +1,26 @@
-/** Spread of edits by number of daemons. */
+/** Measures how edits spread, by number of daemons. */
 import {Cluster, pause} from '../cluster.js';
 import {fitLine, round} from '../measures.js';
 import {HANDHELD, PARKWISE_DOMAINS} from '../plans.js';
-import {usageOf} from '../process-usage.js';
+import {readProcessUsage} from '../process-usage.js';
 import type {Experiment, ExperimentContext} from './experiment.js';
 
 const SIZES = [8, 16, 32, 48];
 const IDLE_MS = 4_000;
 const BURST_EDITS = 20;
-const BURST_PAUSE_MS = 100;
+const BURST_INTERVAL_MS = 100;
+/** UDP and IP headers of a datagram. */
 const HEADER_BYTES = 28;
 
-/** Time in force, store calls, bytes and processor share, with slopes. */
+/** Reports time until in effect, store calls, bytes and processor share. */
 export const configSpread: Experiment = {
   name: 'config-spread',
-  summary: 'time until an edit is in force at 8 to 48 daemons',
+  summary: 'time until an edit is in effect at 8 to 48 daemons',
   run: async context => {
-    const sizes: Awaited<ReturnType<typeof runSize>>[] = [];
+    const sizes: Awaited<ReturnType<typeof measureSize>>[] = [];
     await SIZES.reduce(async (earlier, daemons) => {
       await earlier;
-      sizes.push(await runSize(context, daemons));
+      sizes.push(await measureSize(context, daemons));
     }, Promise.resolve());
     const slopeOf = (figure: (size: (typeof sizes)[number]) => number) =>
       round(fitLine(sizes.map(size => [size.daemons, figure(size)])).slope);
@@ -33,13 +34,13 @@
           processorShare: slopeOf(({processorShare}) => processorShare),
         },
       },
-      broken: [],
+      failures: [],
     };
   },
 };
 
-async function runSize(context: ExperimentContext, daemons: number) {
-  const cluster = context.use(
+async function measureSize(context: ExperimentContext, daemons: number) {
+  const cluster = context.registerCluster(
     await Cluster.create({
       daemons,
       domains: PARKWISE_DOMAINS,
@@ -48,15 +49,15 @@
     }),
   );
   await pause(3_000);
-  const before = await snapshot(cluster);
+  const before = await readTotals(cluster);
   await pause(IDLE_MS);
-  const after = await snapshot(cluster);
+  const after = await readTotals(cluster);
   const rate = (name: keyof typeof after) =>
     ((after[name] - before[name]) * 1_000) / IDLE_MS;
-  const inForceMs = await timeEdit(cluster, 1);
-  const burstBefore = await snapshot(cluster);
-  const burstMs = await burst(cluster);
-  const burstAfter = await snapshot(cluster);
+  const inForceMs = await measureEdit(cluster, 1);
+  const burstBefore = await readTotals(cluster);
+  const burstMs = await measureBurst(cluster);
+  const burstAfter = await readTotals(cluster);
   await cluster.close();
   const figures = {
     daemons,
@@ -69,12 +70,12 @@
     ),
     processorShare: round(rate('cpu') / daemons),
   };
-  context.say(JSON.stringify(figures));
+  context.log(JSON.stringify(figures));
   return figures;
 }
 
-async function snapshot(cluster: Cluster) {
-  const statuses = await cluster.statuses();
+async function readTotals(cluster: Cluster) {
+  const statuses = await cluster.readStatuses();
   const sum = (name: string) =>
     statuses.reduce((total, {countersJson}) => {
       const counters = JSON.parse(countersJson) as Record<string, number>;
@@ -85,24 +86,24 @@
     bytes: sum('control.bytes_sent'),
     datagrams: sum('control.datagrams_sent'),
     cpu: [...cluster.daemons.keys()]
-      .map(id => usageOf(cluster.processes.get(id)?.child.pid ?? 0))
+      .map(id => readProcessUsage(cluster.processes.get(id)?.child.pid ?? 0))
       .reduce((total, {cpuSeconds}) => total + cpuSeconds, 0),
   };
 }
 
-/** Applies one edit; resolves with the time until it is in force everywhere. */
-async function timeEdit(cluster: Cluster, value: number): Promise<number> {
+/** Applies one edit; returns the milliseconds until it is in effect everywhere. */
+async function measureEdit(cluster: Cluster, value: number): Promise<number> {
   const startMs = Date.now();
-  const revision = await applyOne(cluster, value);
-  await cluster.waitUntil('in force', async () =>
-    (await cluster.statuses()).every(status => status.revision >= revision),
+  const revision = await applyEdit(cluster, value);
+  await cluster.waitFor('the edit is in effect', async () =>
+    (await cluster.readStatuses()).every(status => status.revision >= revision),
   );
   return Date.now() - startMs;
 }
 
-function applyOne(cluster: Cluster, value: number): Promise<number> {
+function applyEdit(cluster: Cluster, value: number): Promise<number> {
   const text = cluster
-    .configuration()
+    .createConfiguration()
     ['workspace/parkwise'].replace(
       'name = parkwise',
       `name = parkwise\nrequests-in-flight = ${1_000 + value}`,
@@ -110,12 +111,12 @@
   return cluster.apply('bench', {'workspace/parkwise': text});
 }
 
-/** Ten edits a second; resolves with the time until the last is in force. */
-async function burst(cluster: Cluster): Promise<number> {
+/** Applies a burst of edits; returns the milliseconds until the last is in effect. */
+async function measureBurst(cluster: Cluster): Promise<number> {
   await Array.from({length: BURST_EDITS}).reduce(async (earlier, _, index) => {
     await earlier;
-    await applyOne(cluster, 100 + index);
-    await pause(BURST_PAUSE_MS);
+    await applyEdit(cluster, 100 + index);
+    await pause(BURST_INTERVAL_MS);
   }, Promise.resolve());
-  return timeEdit(cluster, 999);
+  return measureEdit(cluster, 999);
 }
--- a/bench/experiments/config-storm.ts
+++ b/bench/experiments/config-storm.ts
@@ -1,4 +1,4 @@
-/** Two operators editing at once through every fault of the store. */
+/** Two operators edit concurrently while the store and daemons fail. */
 import {randomUUID} from 'node:crypto';
 import {
   decodeDocument,
@@ -12,31 +12,32 @@
 import {Cluster, pause} from '../cluster.js';
 import {round} from '../measures.js';
 import {HANDHELD, PARKWISE_DOMAINS} from '../plans.js';
-import {RevisionFollower} from '../revision-follower.js';
-import {brokenPromises, type Experiment} from './experiment.js';
+import {RevisionPoller} from '../revision-poller.js';
+import {collectFailures, type Experiment} from './experiment.js';
 
 const DAEMONS = 8;
-const STORM_MS = 30_000;
-const EDIT_DEADLINE_MS = 12_000;
-const PAUSE_MS = 300;
+const EDIT_PHASE_MS = 30_000;
+const EDIT_TIMEOUT_MS = 12_000;
+const EDIT_INTERVAL_MS = 300;
 const SETTLE_MS = 6_000;
 const NAIVE_KEY = 'bench/naive';
-const WITHIN_MS = 3_000;
+const IN_EFFECT_LIMIT_MS = 3_000;
 
-interface Accepted {
+/** An edit that its operator was told had been accepted. */
+interface AcceptedEdit {
   readonly editId: string;
   readonly revision: number;
-  /** Revision that the operator looked at. */
+  /** Revision that the edit was based on. */
   readonly base: number;
   readonly atMs: number;
 }
 
-/** Edits lost, overwritten or reverted, and the time until in force. */
+/** Counts lost, overwritten and reverted edits; measures the time until in effect. */
 export const configStorm: Experiment = {
   name: 'config-storm',
-  summary: 'two operators at once, lost answers, outages, daemons replaced',
+  summary: 'two concurrent operators, lost replies, outages, daemons replaced',
   run: async context => {
-    const cluster = context.use(
+    const cluster = context.registerCluster(
       await Cluster.create({
         daemons: DAEMONS,
         domains: PARKWISE_DOMAINS,
@@ -44,36 +45,36 @@
         seed: context.seed,
       }),
     );
-    const follower = RevisionFollower.create(cluster);
-    const accepted: Accepted[] = [];
+    const poller = RevisionPoller.create(cluster);
+    const accepted: AcceptedEdit[] = [];
     const conflicts = {count: 0};
-    const until = Date.now() + STORM_MS;
-    const callsBefore = await storeCalls(cluster);
+    const until = Date.now() + EDIT_PHASE_MS;
+    const callsBefore = await readStoreCalls(cluster);
     const operators = ['op-a', 'op-b'].map(name =>
-      operate(cluster, name, until, accepted, conflicts),
+      runOperator(cluster, name, until, accepted, conflicts),
     );
-    const naive = naiveOperators(cluster, until);
+    const naive = runNaiveOperators(cluster, until);
     await injectFaults(cluster);
     await Promise.all(operators);
     const naiveFigures = await naive;
-    const calls = (await storeCalls(cluster)) - callsBefore;
+    const calls = (await readStoreCalls(cluster)) - callsBefore;
     await pause(SETTLE_MS);
     const final = (await cluster.platform.editor.read())._unsafeUnwrap();
-    const ids = follower.editIds;
+    const ids = poller.editIds;
     const lostEdits = accepted.filter(({editId}) => !ids.has(editId)).length;
     const unseenOverwrites = accepted.filter(
       ({base, revision}) => revision !== base + 1,
     ).length;
-    const statuses = await cluster.statuses();
+    const statuses = await cluster.readStatuses();
     const mixedRevisions = statuses.filter(
       ({revision}) => revision !== final.document.revision,
     ).length;
-    follower.stop();
-    const {reverts} = follower;
+    poller.stop();
+    const {reverts} = poller;
     const inForce = accepted.flatMap(
-      ({revision, atMs}) => follower.timeInForce(revision, atMs) ?? [],
+      ({revision, atMs}) => poller.timeUntilInEffect(revision, atMs) ?? [],
     );
-    const calm = await measureCalm(cluster);
+    const withoutFaults = await measureWithoutFaults(cluster);
     await cluster.close();
     const figures = {
       acceptedEdits: accepted.length,
@@ -82,52 +83,64 @@
       unseenOverwrites,
       reverts,
       mixedRevisions,
-      inForceMs: percentiles(calm),
-      inForceInStormMs: percentiles(inForce),
-      storeCallsPerSecond: round((calls * 1_000) / STORM_MS),
+      inForceMs: computePercentiles(withoutFaults),
+      inForceInStormMs: computePercentiles(inForce),
+      storeCallsPerSecond: round((calls * 1_000) / EDIT_PHASE_MS),
       naive: naiveFigures,
     };
     return {
       figures,
-      broken: brokenPromises([
+      failures: collectFailures([
         [lostEdits === 0, `${lostEdits} accepted edits were lost`],
-        [unseenOverwrites === 0, 'an edit was overwritten unseen'],
-        [reverts === 0, 'a daemon went back'],
-        [mixedRevisions === 0, 'daemons differ at the end'],
-        [figures.inForceMs.p99 <= WITHIN_MS, 'an edit took over 3 s'],
+        [
+          unseenOverwrites === 0,
+          `${unseenOverwrites} accepted edits replaced a revision that was not their base`,
+        ],
+        [
+          reverts === 0,
+          `daemons reverted to an older revision ${reverts} times`,
+        ],
+        [
+          mixedRevisions === 0,
+          `${mixedRevisions} daemons are not at the final revision`,
+        ],
+        [
+          figures.inForceMs.p99 <= IN_EFFECT_LIMIT_MS,
+          'p99 of the time until an edit is in effect is over 3 s',
+        ],
         [
           naiveFigures.lostEdits + naiveFigures.unseenOverwrites > 0,
-          'the naive way lost nothing: no measure',
+          'the naive policy lost no edits, so the comparison shows nothing',
         ],
       ]),
     };
   },
 };
 
-function percentiles(values: readonly number[]) {
+function computePercentiles(values: readonly number[]) {
   const sorted = [...values].sort((a, b) => a - b);
   const at = (share: number) =>
     sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
   return {p50: at(0.5), p99: at(0.99)};
 }
 
-/** One operator: looks, edits, and looks again after a conflict. */
-async function operate(
+/** Reads the newest revision and edits it, again and again; conflicts are counted. */
+async function runOperator(
   cluster: Cluster,
   name: string,
   until: number,
-  accepted: Accepted[],
+  accepted: AcceptedEdit[],
   conflicts: {count: number},
 ): Promise<void> {
   while (Date.now() < until) {
     const read = await cluster.platform.editor.read();
     if (read.isOk()) {
       const base = read.value.document.revision;
-      const edit = editOf(cluster, name, base);
+      const edit = createEdit(cluster, name, base);
       const result = await cluster.platform.editor.apply(edit, {
         base,
         rebase: false,
-        deadline: cluster.platform.clock.now() + EDIT_DEADLINE_MS,
+        deadline: cluster.platform.clock.now() + EDIT_TIMEOUT_MS,
       });
       result.match(
         document => {
@@ -144,12 +157,12 @@
         },
       );
     }
-    await pause(PAUSE_MS);
+    await pause(EDIT_INTERVAL_MS);
   }
 }
 
-function editOf(cluster: Cluster, name: string, base: number): Edit {
-  const sources = cluster.configuration();
+function createEdit(cluster: Cluster, name: string, base: number): Edit {
+  const sources = cluster.createConfiguration();
   const text = sources['workspace/parkwise'].replace(
     'name = parkwise',
     `name = parkwise\nrequests-in-flight = ${1_000 + base}`,
@@ -162,23 +175,23 @@
   };
 }
 
-/** Operators that write over whatever is there, and repeat lost writes. */
-async function naiveOperators(cluster: Cluster, until: number) {
+/** Runs operators that overwrite whatever revision is stored and repeat lost writes. */
+async function runNaiveOperators(cluster: Cluster, until: number) {
   const store = GrpcStore.create(
     cluster.storeAddress,
     SystemClock.create(),
     StatsdCounters.create(undefined, 'naive'),
   );
-  const accepted: Accepted[] = [];
+  const accepted: AcceptedEdit[] = [];
   const run = async (name: string) => {
     while (Date.now() < until) {
       const read = await store.get(NAIVE_KEY);
-      const edit = editOf(cluster, name, 0);
+      const edit = createEdit(cluster, name, 0);
       if (read.isOk()) {
         const before = decodeDocument(read.value.value)._unsafeUnwrap();
         const next = nextDocument(before, {
           ...edit,
-          changes: {...cluster.configuration(), ...edit.changes},
+          changes: {...cluster.createConfiguration(), ...edit.changes},
         })._unsafeUnwrap();
         const written = await overwrite(store, encodeDocument(next), until);
         if (written) {
@@ -188,7 +201,7 @@
           accepted.push({editId, revision: written, base, atMs});
         }
       }
-      await pause(PAUSE_MS);
+      await pause(EDIT_INTERVAL_MS);
     }
   };
   await Promise.all(['op-a', 'op-b'].map(run));
@@ -205,7 +218,10 @@
   };
 }
 
-/** Writes at whatever version is there, until an answer comes. */
+/**
+ * Writes over whatever version is stored, and tries again until it succeeds.
+ * Returns the new version; undefined when the time is over.
+ */
 async function overwrite(
   store: GrpcStore,
   value: Uint8Array,
@@ -219,7 +235,7 @@
       return swapped.value.current.version;
     }
   }
-  await pause(PAUSE_MS);
+  await pause(EDIT_INTERVAL_MS);
   return Date.now() < until ? overwrite(store, value, until) : undefined;
 }
 
@@ -240,22 +256,24 @@
   await cluster.store.turn({loseAnswers: 0, slowMs: 0});
 }
 
-/** Edits one after the other with the store up, each timed. */
-async function measureCalm(cluster: Cluster): Promise<number[]> {
+/** Returns the milliseconds until in effect of five edits without faults. */
+async function measureWithoutFaults(cluster: Cluster): Promise<number[]> {
   const times: number[] = [];
   await Array.from({length: 5}).reduce(async earlier => {
     await earlier;
     const startMs = Date.now();
-    const edit = editOf(cluster, 'calm', startMs % 1_000);
+    const edit = createEdit(cluster, 'calm', startMs % 1_000);
     const revision = await cluster.apply('calm', edit.changes);
-    await cluster.waitUntil('in force', async () =>
-      (await cluster.statuses()).every(status => status.revision >= revision),
+    await cluster.waitFor('the edit is in effect', async () =>
+      (await cluster.readStatuses()).every(
+        status => status.revision >= revision,
+      ),
     );
     times.push(Date.now() - startMs);
   }, Promise.resolve());
   return times;
 }
 
-async function storeCalls(cluster: Cluster): Promise<number> {
+async function readStoreCalls(cluster: Cluster): Promise<number> {
   return (await cluster.store.turn<{calls: number}>()).calls;
 }
--- a/bench/experiments/crash.ts
+++ b/bench/experiments/crash.ts
@@ -1,55 +1,64 @@
-/** One, then two daemons killed at once while views and tables change. */
+/** Kills one daemon, or two at once, during a drain and an edit. */
 import {Cluster, pause} from '../cluster.js';
-import {sumOf, totalsOf} from '../measures.js';
+import {sumReports, computeFlowTotals} from '../measures.js';
 import {HANDHELD, METERPAY, PARKWISE_DOMAINS} from '../plans.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
 const DAEMONS = 8;
-const FLOWS_A_SERVER = 150;
-const OPEN_RATE = 1_000;
+const FLOWS_PER_SERVER = 150;
+const OPENS_PER_SECOND = 1_000;
 const DATA_INTERVAL_MS = 400;
-const OLD_ENOUGH_MS = 1_500;
-const WATCH_MS = 10_000;
-const POLL_MS = 100;
+const SETTLE_MS = 1_500;
+const OBSERVATION_MS = 10_000;
+const POLL_INTERVAL_MS = 100;
 
-/** What one run showed. */
+/** Figures of one run. */
 interface CrashFigures {
   readonly flows: number;
   readonly brokenFlows: number;
   readonly misroutedPackets: number;
-  /** Longest time that an open flow went without an answer. */
+  /** Longest time that an open flow got no answer. */
   readonly recoveryMs: number;
 }
 
-/** Crashes of one and of two daemons, ours beside the naive way. */
+/** Compares crashes under the `weldyard` and `naive` policies. */
 export const crash: Experiment = {
   name: 'crash',
-  summary: 'one, then two daemons killed while a drain and an edit spread',
+  summary: 'one and two daemons killed while a drain and an edit spread',
   run: async context => {
     const [one, two] = await Promise.all([
-      runBoth(context, 1),
-      runBoth(context, 2),
+      runBothPolicies(context, 1),
+      runBothPolicies(context, 2),
     ]);
     return {
       figures: {one, two},
-      broken: brokenPromises([
+      failures: collectFailures([
         [one.brokenFlows === 0, `one: ${one.brokenFlows} flows were broken`],
-        [one.misroutedPackets === 0, 'one: packets were misrouted'],
-        [two.misroutedPackets === 0, 'two: packets were misrouted'],
-        [one.naive.brokenFlows > 0, 'the naive way broke nothing'],
+        [
+          one.misroutedPackets === 0,
+          `one: ${one.misroutedPackets} packets were misrouted`,
+        ],
+        [
+          two.misroutedPackets === 0,
+          `two: ${two.misroutedPackets} packets were misrouted`,
+        ],
+        [
+          one.naive.brokenFlows > 0,
+          'the naive policy broke no flows, so the comparison shows nothing',
+        ],
       ]),
     };
   },
 };
 
-async function runBoth(context: ExperimentContext, kills: number) {
-  const ours = await runOnce(context, kills, 'weldyard');
+async function runBothPolicies(context: ExperimentContext, kills: number) {
+  const weldyard = await runOnce(context, kills, 'weldyard');
   const naive = await runOnce(context, kills, 'naive');
-  return {...ours, naive};
+  return {...weldyard, naive};
 }
 
 async function runOnce(
@@ -58,7 +67,7 @@
   policy: 'weldyard' | 'naive',
 ): Promise<CrashFigures> {
   const services = [METERPAY, HANDHELD];
-  const cluster = context.use(
+  const cluster = context.registerCluster(
     await Cluster.create({
       daemons: DAEMONS,
       domains: PARKWISE_DOMAINS,
@@ -67,19 +76,19 @@
       policy,
     }),
   );
-  await cluster.flows({intervalMs: DATA_INTERVAL_MS});
-  const [drained, removed] = cluster.serversOf('parkwise/meterpay');
+  await cluster.controlFlowCallers({intervalMs: DATA_INTERVAL_MS});
+  const [drained, removed] = cluster.listServers('parkwise/meterpay');
   await cluster.openFlows(
     services.map(plan => ({
       service: `${plan.workspace}/${plan.service}`,
       address: plan.address,
-      count: plan.servers * FLOWS_A_SERVER,
-      rate: OPEN_RATE,
+      count: plan.servers * FLOWS_PER_SERVER,
+      rate: OPENS_PER_SECOND,
     })),
   );
-  // Flows of changed keys exist before the kill, so that copies matter.
-  await cluster.backend(drained, {draining: true});
-  await pause(OLD_ENOUGH_MS);
+  // Flows whose keys the drain reassigns survive a kill only through replicas.
+  await cluster.controlBackend(drained, {draining: true});
+  await pause(SETTLE_MS);
   await cluster.openFlows([
     {
       service: 'parkwise/meterpay',
@@ -88,18 +97,21 @@
       rate: 600,
     },
   ]);
-  await pause(OLD_ENOUGH_MS);
+  await pause(SETTLE_MS);
   const victims = chooseVictims(cluster, kills);
   victims.forEach(id => cluster.killDaemon(id));
-  await cluster.apply('operator', cluster.configuration([drained, removed]));
-  const recoveryMs = await watchSilence(cluster);
-  const totals = totalsOf(await cluster.flows());
-  const backends = await cluster.backendReports();
-  context.say(`${policy}: killed ${victims.join(' and ')}`);
+  await cluster.apply(
+    'operator',
+    cluster.createConfiguration([drained, removed]),
+  );
+  const recoveryMs = await measureLongestSilence(cluster);
+  const totals = computeFlowTotals(await cluster.controlFlowCallers());
+  const backends = await cluster.readBackendReports();
+  context.log(`${policy}: killed ${victims.join(' and ')}`);
   const figures = {
     flows: totals.flows,
     brokenFlows: totals.brokenFlows,
-    misroutedPackets: sumOf(backends, ({misrouted}) => misrouted),
+    misroutedPackets: sumReports(backends, ({misrouted}) => misrouted),
     recoveryMs,
   };
   if (totals.brokenFlows === 0 || policy === 'naive') {
@@ -108,7 +120,7 @@
   return figures;
 }
 
-/** Daemons of different failure domains. */
+/** Selects daemons in different failure domains. */
 function chooseVictims(cluster: Cluster, kills: number): string[] {
   const daemons = [...cluster.daemons.values()];
   const [first] = daemons;
@@ -116,17 +128,17 @@
   return [first.id, other?.id ?? first.id].slice(0, kills);
 }
 
-/** The longest silence that any flow saw. */
-async function watchSilence(cluster: Cluster): Promise<number> {
-  const deadline = Date.now() + WATCH_MS;
+/** Returns the longest time that any open flow got no answer, in milliseconds. */
+async function measureLongestSilence(cluster: Cluster): Promise<number> {
+  const deadline = Date.now() + OBSERVATION_MS;
   let longest = 0;
   while (Date.now() < deadline) {
-    const report = await cluster.flows();
+    const report = await cluster.controlFlowCallers();
     const silences = report.services.map(
       ({longestSilenceMs}) => longestSilenceMs,
     );
     longest = Math.max(longest, ...silences);
-    await pause(POLL_MS);
+    await pause(POLL_INTERVAL_MS);
   }
   return longest;
 }
--- a/bench/experiments/domain-loss.ts
+++ b/bench/experiments/domain-loss.ts
@@ -1,49 +1,63 @@
 /**
- * A failure domain lost, and regions cut off from the store, on real daemons.
- * A cut between regions is brought about by the platform's silence towards one
- * side; packets between daemons of one machine cannot be cut from here.
+ * Kills all daemons of a failure domain, then makes the store unavailable. A
+ * network partition between daemons is not emulated: all share the loopback.
  */
 import {Cluster, pause} from '../cluster.js';
-import {imbalanceOf, sumOf, totalsOf} from '../measures.js';
+import {computeImbalance, sumReports, computeFlowTotals} from '../measures.js';
 import {
   PAYMENTS,
   createRequestCluster,
-  judgeRequests,
+  verifyRequests,
 } from '../request-bench.js';
-import {RevisionFollower} from '../revision-follower.js';
+import {RevisionPoller} from '../revision-poller.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
-const FLOWS_A_SERVER = 150;
-const OPEN_RATE = 1_000;
-const OLD_ENOUGH_MS = 2_000;
-const WATCH_MS = 10_000;
-const REQUEST_RATE = 80;
+const FLOWS_PER_SERVER = 150;
+const OPENS_PER_SECOND = 1_000;
+const SETTLE_MS = 2_000;
+const OBSERVATION_MS = 10_000;
+const REQUESTS_PER_SECOND = 80;
 const REQUEST_SECONDS = 25;
 const DEADLINE_MS = 4_000;
 
-/** Loss of a whole failure domain, then a store outage with edits refused. */
+/** Checks flows, requests and edits during a domain failure and a store outage. */
 export const domainLoss: Experiment = {
   name: 'domain-loss',
-  summary: 'a failure domain killed, then the platform silent, then back',
+  summary: 'a failure domain killed, then a store outage, then both restored',
   run: async context => {
-    const ours = await runOnce(context, 'weldyard');
+    const weldyard = await runOnce(context, 'weldyard');
     const naive = await runOnce(context, 'naive');
     return {
       figures: {
-        ...ours,
+        ...weldyard,
         naive: {brokenFlows: naive.brokenFlows, imbalance: naive.imbalance},
       },
-      broken: brokenPromises([
-        [ours.brokenFlows === 0, `${ours.brokenFlows} flows were broken`],
-        [ours.misroutedPackets === 0, 'packets were misrouted'],
-        [ours.reverts === 0, 'a revision reverted'],
-        [ours.doubleRuns === 0, 'payments ran twice'],
-        [ours.editRefused, 'an edit was accepted without a store'],
-        [naive.brokenFlows > 0, 'the naive way broke nothing'],
+      failures: collectFailures([
+        [
+          weldyard.brokenFlows === 0,
+          `${weldyard.brokenFlows} flows were broken`,
+        ],
+        [
+          weldyard.misroutedPackets === 0,
+          `${weldyard.misroutedPackets} packets were misrouted`,
+        ],
+        [
+          weldyard.reverts === 0,
+          `daemons reverted to an older revision ${weldyard.reverts} times`,
+        ],
+        [
+          weldyard.doubleRuns === 0,
+          `${weldyard.doubleRuns} payments ran more than once`,
+        ],
+        [weldyard.editRefused, 'an edit was accepted during the store outage'],
+        [
+          naive.brokenFlows > 0,
+          'the naive policy broke no flows, so the comparison shows nothing',
+        ],
       ]),
     };
   },
@@ -58,38 +72,38 @@
     policy,
     requestPolicy: policy,
   });
-  const follower = RevisionFollower.create(cluster);
+  const poller = RevisionPoller.create(cluster);
   await openFlows(cluster);
   await cluster.sendRequests({
     workspace: PAYMENTS.workspace,
     service: PAYMENTS.service,
     repeatable: false,
-    rate: REQUEST_RATE,
+    rate: REQUESTS_PER_SECOND,
     seconds: REQUEST_SECONDS,
     deadlineMs: DEADLINE_MS,
     duplicates: 0.05,
   });
   const lost = killDomain(cluster, 'hall-a');
-  await pause(WATCH_MS);
-  const editRefused = await tryEditWithoutStore(cluster);
-  // Those that come back take the newest revision from peers and the store.
+  await pause(OBSERVATION_MS);
+  const editRefused = await isEditRefusedWithoutStore(cluster);
+  // The new daemons read the newest revision from peers and the store.
   lost.forEach(() => cluster.startDaemon('hall-a'));
   await cluster.waitReady();
-  await pause(WATCH_MS);
-  follower.stop();
-  const {reverts} = follower;
-  const totals = totalsOf(await cluster.flows());
-  const backends = await cluster.backendReports();
-  const verdict = await judgeRequests(cluster);
+  await pause(OBSERVATION_MS);
+  poller.stop();
+  const {reverts} = poller;
+  const totals = computeFlowTotals(await cluster.controlFlowCallers());
+  const backends = await cluster.readBackendReports();
+  const verdict = await verifyRequests(cluster);
   await cluster.close();
-  context.say(
+  context.log(
     `${policy}: ${lost.length} daemons lost, ${JSON.stringify(totals)}`,
   );
   return {
     flows: totals.flows,
     brokenFlows: totals.brokenFlows,
-    misroutedPackets: sumOf(backends, ({misrouted}) => misrouted),
-    imbalance: imbalanceOf(backends.slice(2).map(({flows}) => flows)),
+    misroutedPackets: sumReports(backends, ({misrouted}) => misrouted),
+    imbalance: computeImbalance(backends.slice(2).map(({flows}) => flows)),
     worstService: 'parkwise/meterpay',
     reverts,
     doubleRuns: verdict.doubleRuns,
@@ -99,22 +113,28 @@
   };
 }
 
-/** Opens flows, drains a server, opens more: so there is state to lose. */
+/**
+ * Opens flows before and after a drain and a removal, so that the daemons to be
+ * killed hold flows that the lookup table would route to other servers.
+ */
 async function openFlows(cluster: Cluster): Promise<void> {
   const order = (count: number) => ({
     service: 'parkwise/meterpay',
     address: PAYMENTS.address,
     count,
-    rate: OPEN_RATE,
+    rate: OPENS_PER_SECOND,
   });
-  await cluster.openFlows([order(PAYMENTS.servers * FLOWS_A_SERVER)]);
-  const [drained, removed] = cluster.serversOf('parkwise/meterpay');
-  await cluster.backend(drained, {draining: true});
-  await pause(OLD_ENOUGH_MS);
-  await cluster.apply('operator', cluster.configuration([drained, removed]));
-  await pause(OLD_ENOUGH_MS);
+  await cluster.openFlows([order(PAYMENTS.servers * FLOWS_PER_SERVER)]);
+  const [drained, removed] = cluster.listServers('parkwise/meterpay');
+  await cluster.controlBackend(drained, {draining: true});
+  await pause(SETTLE_MS);
+  await cluster.apply(
+    'operator',
+    cluster.createConfiguration([drained, removed]),
+  );
+  await pause(SETTLE_MS);
   await cluster.openFlows([order(300)]);
-  await pause(OLD_ENOUGH_MS);
+  await pause(SETTLE_MS);
 }
 
 function killDomain(cluster: Cluster, domain: string): string[] {
@@ -125,15 +145,15 @@
   return lost;
 }
 
-/** Whether an edit is refused while the store is down. */
-async function tryEditWithoutStore(cluster: Cluster): Promise<boolean> {
+/** Takes the store down and returns whether an edit is then refused. */
+async function isEditRefusedWithoutStore(cluster: Cluster): Promise<boolean> {
   await cluster.store.turn({down: true});
   const result = await cluster.platform.editor.apply(
     {
       editId: 'without-store',
       editor: 'operator',
       atMs: Date.now(),
-      changes: cluster.configuration(),
+      changes: cluster.createConfiguration(),
     },
     {rebase: true, deadline: cluster.platform.clock.now() + 1_000},
   );
--- a/bench/experiments/experiment.ts
+++ b/bench/experiments/experiment.ts
@@ -1,35 +1,35 @@
-/** What an experiment is. */
+/** The interface of an experiment and of what runs it. */
 import type {Cluster} from '../cluster.js';
 
-/** What an experiment may use. */
+/** Inputs and hooks that the runner gives to an experiment. */
 export interface ExperimentContext {
   readonly seed: number;
-  /** Tells a person how far it is. */
-  say(text: string): void;
-  /** Registers a cluster, so that it is ended and its time line kept. */
-  use(cluster: Cluster): Cluster;
+  /** Prints a line of progress. */
+  log(text: string): void;
+  /** Registers a cluster to be closed at the end; its time line is kept on failure. */
+  registerCluster(cluster: Cluster): Cluster;
 }
 
-/** What an experiment found. */
-export interface Findings {
-  /** The figures, as the JSON output has them. */
+/** Figures and failed checks of an experiment. */
+export interface ExperimentResult {
+  /** Figures for the JSON output. */
   readonly figures: Readonly<Record<string, unknown>>;
-  /** Promises that were broken; empty when all were kept. */
-  readonly broken: readonly string[];
-  /** A picture (SVG), where one helps. */
+  /** Messages of failed checks; printed as `broken`. */
+  readonly failures: readonly string[];
+  /** SVG document for `--out`. */
   readonly picture?: string;
 }
 
-/** One experiment. */
+/** An experiment that can be run by its name. */
 export interface Experiment {
   readonly name: string;
   readonly summary: string;
-  run(context: ExperimentContext): Promise<Findings>;
+  run(context: ExperimentContext): Promise<ExperimentResult>;
 }
 
-/** Texts of those promises that do not hold. */
-export function brokenPromises(
-  promises: readonly (readonly [holds: boolean, text: string])[],
+/** Returns the messages of the checks that do not hold. */
+export function collectFailures(
+  checks: readonly (readonly [holds: boolean, message: string])[],
 ): string[] {
-  return promises.filter(([holds]) => !holds).map(([, text]) => text);
+  return checks.filter(([holds]) => !holds).map(([, message]) => message);
 }
--- a/bench/experiments/fairness.ts
+++ b/bench/experiments/fairness.ts
@@ -1,54 +1,59 @@
-/** One workspace at ten times its share of servers that others use too. */
+/** One workspace overloads servers that it shares with three others. */
 import type {Cluster, ServicePlan} from '../cluster.js';
 import {pause} from '../cluster.js';
 import {round} from '../measures.js';
 import {
   PAYMENTS,
-  capacityOf,
+  computeCapacity,
   createRequestCluster,
   waitForRequests,
 } from '../request-bench.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
-/** Share of the capacity that each workspace is meant to use. */
-const SHARE = 0.15;
-const TIMES = 10;
-const SECONDS = 10;
+/** Normal load of a workspace, as a share of the servers' capacity. */
+const LOAD_PER_WORKSPACE = 0.15;
+const NOISY_LOAD_FACTOR = 10;
+const PHASE_SECONDS = 10;
 const DEADLINE_MS = 3_000;
-const NAMES = ['council-a', 'council-b', 'council-c', 'council-d'] as const;
-const OWNER = `${NAMES[0]}/${PAYMENTS.service}`;
+const WORKSPACES = [
+  'council-a',
+  'council-b',
+  'council-c',
+  'council-d',
+] as const;
+const SHARED_SERVICE = `${WORKSPACES[0]}/${PAYMENTS.service}`;
 
-const PLANS: readonly ServicePlan[] = NAMES.map((workspace, index) => ({
+const PLANS: readonly ServicePlan[] = WORKSPACES.map((workspace, index) => ({
   ...PAYMENTS,
   workspace,
   address: `10.50.0.${index + 1}:443`,
   repeatable: true,
-  sharedWith: index === 0 ? undefined : OWNER,
+  sharedWith: index === 0 ? undefined : SHARED_SERVICE,
 }));
 
-/** Goodput and p99 of the quiet workspaces, alone and beside a loud one. */
+/** Compares goodput and p99 of the others with and without a noisy neighbor. */
 export const fairness: Experiment = {
   name: 'fairness',
-  summary: 'one workspace at ten times its share of common servers',
+  summary: 'one workspace at ten times its normal load on shared servers',
   run: async context => {
-    const [ours, naive] = await Promise.all([
+    const [weldyard, naive] = await Promise.all([
       runOnce(context, 'weldyard'),
       runOnce(context, 'naive'),
     ]);
     return {
-      figures: {...ours, naive},
-      broken: brokenPromises([
+      figures: {...weldyard, naive},
+      failures: collectFailures([
         [
-          ours.othersGoodputRatio >= 0.95,
-          `others' goodput ratio is ${ours.othersGoodputRatio}`,
+          weldyard.othersGoodputRatio >= 0.95,
+          `goodput ratio of the other workspaces is ${weldyard.othersGoodputRatio}`,
         ],
         [
-          ours.othersP99Ratio <= 1.2,
-          `others' p99 ratio is ${ours.othersP99Ratio}`,
+          weldyard.othersP99Ratio <= 1.2,
+          `p99 ratio of the other workspaces is ${weldyard.othersP99Ratio}`,
         ],
       ]),
     };
@@ -64,33 +69,39 @@
     requestPolicy: policy,
   });
   await pause(2_000);
-  const rate = Math.round(capacityOf(PAYMENTS) * SHARE);
-  const quiet = NAMES.slice(1);
+  const rate = Math.round(computeCapacity(PAYMENTS) * LOAD_PER_WORKSPACE);
+  const quiet = WORKSPACES.slice(1);
   await Promise.all(quiet.map(name => send(cluster, name, rate)));
-  const alone = await waitForRequests(cluster, quiet.length * rate * SECONDS);
+  const uncontended = await waitForRequests(
+    cluster,
+    quiet.length * rate * PHASE_SECONDS,
+  );
   await Promise.all([
     ...quiet.map(name => send(cluster, name, rate)),
-    send(cluster, NAMES[0], rate * TIMES),
+    send(cluster, WORKSPACES[0], rate * NOISY_LOAD_FACTOR),
   ]);
-  const expected = (quiet.length * 2 + TIMES) * rate * SECONDS;
+  const expected =
+    (quiet.length * 2 + NOISY_LOAD_FACTOR) * rate * PHASE_SECONDS;
   const reports = await waitForRequests(cluster, expected);
   await cluster.close();
-  const beside = reports
-    .slice(alone.length)
-    .filter(({workspace}) => workspace !== NAMES[0]);
-  const loud = reports.find(({workspace}) => workspace === NAMES[0]);
-  const sum = (list: typeof reports) =>
+  const contended = reports
+    .slice(uncontended.length)
+    .filter(({workspace}) => workspace !== WORKSPACES[0]);
+  const noisy = reports.find(({workspace}) => workspace === WORKSPACES[0]);
+  const sumAnswered = (list: typeof reports) =>
     list.reduce((total, {answered}) => total + answered, 0);
-  const worst = (list: typeof reports) =>
+  const worstP99 = (list: typeof reports) =>
     Math.max(...list.map(({p99Ms}) => p99Ms));
   const figures = {
-    othersGoodputRatio: round(sum(beside) / sum(alone)),
-    othersP99Ratio: round(worst(beside) / worst(alone)),
-    p99AloneMs: worst(alone),
-    p99BesideMs: worst(beside),
-    loudAnsweredShare: round((loud?.answered ?? 0) / (loud?.requests ?? 1)),
+    othersGoodputRatio: round(
+      sumAnswered(contended) / sumAnswered(uncontended),
+    ),
+    othersP99Ratio: round(worstP99(contended) / worstP99(uncontended)),
+    p99AloneMs: worstP99(uncontended),
+    p99BesideMs: worstP99(contended),
+    loudAnsweredShare: round((noisy?.answered ?? 0) / (noisy?.requests ?? 1)),
   };
-  context.say(`${policy}: ${JSON.stringify(figures)}`);
+  context.log(`${policy}: ${JSON.stringify(figures)}`);
   return figures;
 }
 
@@ -100,7 +111,7 @@
     service: PAYMENTS.service,
     repeatable: true,
     rate,
-    seconds: SECONDS,
+    seconds: PHASE_SECONDS,
     deadlineMs: DEADLINE_MS,
     duplicates: 0,
   });
--- a/bench/experiments/forwarding.ts
+++ b/bench/experiments/forwarding.ts
@@ -1,4 +1,4 @@
-/** Packets a second through one daemon, beside a bare UDP relay. */
+/** Compares the packet rate of one daemon with that of a plain UDP relay. */
 import path from 'node:path';
 import {fileURLToPath} from 'node:url';
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
@@ -7,9 +7,9 @@
 import {Knobs} from '../../standins/knobs.js';
 import {Cluster, pause} from '../cluster.js';
 import {fitLine, round} from '../measures.js';
-import {usageOf} from '../process-usage.js';
+import {readProcessUsage} from '../process-usage.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
@@ -19,24 +19,25 @@
   '../programs',
 );
 const HELD_FLOWS = 200_000;
-const NEW_FLOWS_A_SECOND = 5_000;
-const OPEN_RATE = 20_000;
+const NEW_FLOWS_PER_SECOND = 5_000;
+const OPENS_PER_SECOND = 20_000;
 const SERVERS = 10;
 const ADDRESS = '10.40.0.1:443';
 const MEASURE_SECONDS = 3;
 const ROUNDS = 3;
 const SOURCES = 2;
 const DATA_FLOWS = 20_000;
-const TARGET_RATIO = 0.8;
-const TARGET_BYTES = 150;
-const MICROSECONDS = 1_000_000;
+const MIN_RATIO = 0.8;
+const MAX_BYTES_PER_EXCEPTION = 150;
+const MICROSECONDS_PER_SECOND = 1_000_000;
 
-/** Speed of one way. */
+/** Packet rate and processor time of the relay or the daemon. */
 interface Speed {
   readonly packetsPerSecond: number;
   readonly microsecondsPerPacket: number;
 }
 
+/** The processes of the experiment; daemon and relay are "ip:port". */
 interface Bench {
   readonly cluster: Cluster;
   readonly sources: readonly Knobs[];
@@ -45,34 +46,37 @@
   readonly relay: string;
 }
 
-/** Forwarding speed and memory a flow. */
+/** Reports the packet rate and the memory per flow. */
 export const forwarding: Experiment = {
   name: 'forwarding',
-  summary: 'packets a second and memory a flow, beside a bare UDP relay',
+  summary: 'packets per second and memory per flow, compared with a UDP relay',
   run: async context => {
     const bench = await prepare(context);
     await openFlows(bench, context);
     const rounds = await measureRounds(bench, context);
     const ratio = median(rounds.map(({ratio: own}) => own));
-    const memory = await memoryOfEntries();
-    const [status] = await bench.cluster.statuses();
+    const memory = await measureEntryMemory();
+    const [status] = await bench.cluster.readStatuses();
     await bench.cluster.close();
     return {
       figures: {
         ratio,
         rounds,
         heldFlows: HELD_FLOWS,
-        newFlowsPerSecond: NEW_FLOWS_A_SECOND,
+        newFlowsPerSecond: NEW_FLOWS_PER_SECOND,
         exceptions: status.exceptions,
         cached: status.cached,
         bytesPerException: memory.bytesPerException,
         bytesPerOtherFlow: 0,
       },
-      broken: brokenPromises([
-        [ratio >= TARGET_RATIO, `ratio ${ratio} is under ${TARGET_RATIO}`],
+      failures: collectFailures([
         [
-          memory.bytesPerException <= TARGET_BYTES,
-          `${memory.bytesPerException} bytes an exception`,
+          ratio >= MIN_RATIO,
+          `ratio to the relay is ${ratio}, under ${MIN_RATIO}`,
+        ],
+        [
+          memory.bytesPerException <= MAX_BYTES_PER_EXCEPTION,
+          `${memory.bytesPerException} bytes per exception is over ${MAX_BYTES_PER_EXCEPTION}`,
         ],
       ]),
     };
@@ -80,7 +84,7 @@
 };
 
 async function prepare(context: ExperimentContext): Promise<Bench> {
-  const cluster = context.use(
+  const cluster = context.registerCluster(
     await Cluster.create({
       daemons: 1,
       domains: ['hall-a'],
@@ -100,12 +104,12 @@
       withoutBackends: true,
     }),
   );
-  const servers = cluster.serversOf('bench/forwarding');
+  const servers = cluster.listServers('bench/forwarding');
   const sink = startProgram(cluster, 'sink', [servers.join(',')]);
   const sources = Array.from({length: SOURCES}, (_, index) =>
     startProgram(cluster, 'source', [], index),
   );
-  const relay = cluster.takeAddress();
+  const relay = cluster.allocateAddress();
   cluster.processes.start(
     'relay',
     [path.join(PROGRAMS, 'relay.js'), relay, servers.join(',')],
@@ -122,7 +126,7 @@
   args: readonly string[],
   index = 0,
 ): Knobs {
-  const knobs = cluster.takeAddress();
+  const knobs = cluster.allocateAddress();
   const name = `${program}-${index}`;
   cluster.processes.start(
     name,
@@ -136,21 +140,21 @@
   bench: Bench,
   context: ExperimentContext,
 ): Promise<void> {
-  context.say(`opening ${HELD_FLOWS} flows`);
-  const seconds = HELD_FLOWS / OPEN_RATE;
+  context.log(`opening ${HELD_FLOWS} flows`);
+  const seconds = HELD_FLOWS / OPENS_PER_SECOND;
   await bench.sources[0].turn({
     target: bench.daemon,
     destination: ADDRESS,
     first: 0,
     flows: HELD_FLOWS,
     kind: PacketKind.OPEN,
-    rate: OPEN_RATE,
+    rate: OPENS_PER_SECOND,
     seconds,
   });
   await pause(seconds * 1_000 + 500);
 }
 
-/** Relay and daemon in turn; the load on both is the same. */
+/** Measures relay and daemon alternately under the same load. */
 async function measureRounds(
   bench: Bench,
   context: ExperimentContext,
@@ -161,7 +165,7 @@
     const relay = await measure(bench, 'relay', bench.relay, index);
     const daemon = await measure(bench, 'entry-1', bench.daemon, index);
     const ratio = round(daemon.packetsPerSecond / relay.packetsPerSecond);
-    context.say(
+    context.log(
       `relay ${relay.packetsPerSecond}, daemon ${daemon.packetsPerSecond} packets/s`,
     );
     rounds.push({relay, daemon, ratio});
@@ -179,10 +183,10 @@
   const common = {target, destination: ADDRESS, seconds: MEASURE_SECONDS + 1};
   const opens = bench.sources[0].turn({
     ...common,
-    first: HELD_FLOWS + index * NEW_FLOWS_A_SECOND * (MEASURE_SECONDS + 1),
-    flows: NEW_FLOWS_A_SECOND * (MEASURE_SECONDS + 1),
+    first: HELD_FLOWS + index * NEW_FLOWS_PER_SECOND * (MEASURE_SECONDS + 1),
+    flows: NEW_FLOWS_PER_SECOND * (MEASURE_SECONDS + 1),
     kind: PacketKind.OPEN,
-    rate: NEW_FLOWS_A_SECOND,
+    rate: NEW_FLOWS_PER_SECOND,
   });
   const data = bench.sources.map((source, position) =>
     source.turn({
@@ -196,18 +200,18 @@
   await Promise.all([opens, ...data]);
   await pause(500);
   const before = await bench.sink.turn<{packets: number}>();
-  const usageBefore = usageOf(pid);
+  const usageBefore = readProcessUsage(pid);
   const startMs = performance.now();
   await pause((MEASURE_SECONDS - 0.5) * 1_000);
   const after = await bench.sink.turn<{packets: number}>();
-  const usageAfter = usageOf(pid);
+  const usageAfter = readProcessUsage(pid);
   const seconds = (performance.now() - startMs) / 1_000;
   await pause(1_500);
   const packets = after.packets - before.packets;
   const cpu = usageAfter.cpuSeconds - usageBefore.cpuSeconds;
   return {
     packetsPerSecond: Math.round(packets / seconds),
-    microsecondsPerPacket: round((cpu * MICROSECONDS) / packets),
+    microsecondsPerPacket: round((cpu * MICROSECONDS_PER_SECOND) / packets),
   };
 }
 
@@ -215,8 +219,8 @@
   return [...values].sort((a, b) => a - b)[Math.floor(values.length / 2)];
 }
 
-/** Bytes an entry by its slope over table sizes, at the fill that they give. */
-async function memoryOfEntries(): Promise<{bytesPerException: number}> {
+/** Measures bytes per flow table entry as the slope over table sizes. */
+async function measureEntryMemory(): Promise<{bytesPerException: number}> {
   const hasher = await XxhashHasher.create();
   const points = [50_000, 100_000, 200_000, 400_000].map(count => {
     const table = FlowTable.create(1_000_000);
--- a/bench/experiments/imbalance.ts
+++ b/bench/experiments/imbalance.ts
@@ -1,4 +1,4 @@
-/** The placing policy beside three common ones, on eight coordinators. */
+/** Compares placement policies by the imbalance of open flows, in virtual time. */
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
 import {PacketKind} from '../../src/generated/packet.js';
 import type {Hasher} from '../../src/ports/hasher.js';
@@ -14,24 +14,24 @@
 import {MarkState} from '../../src/routing/server-marks.js';
 import {MemoryFleet, packetOf} from '../../standins/memory-fleet.js';
 import {Random} from '../../src/routing/random.js';
-import {imbalanceOf, type Imbalance} from '../measures.js';
+import {computeImbalance, type Imbalance} from '../measures.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
 const DAEMONS = 8;
-const FLOWS_A_SERVER = 2_000;
-const FLOWS_A_STEP = 200;
+const FLOWS_PER_SERVER = 2_000;
+const FLOWS_PER_STEP = 200;
 const STEP_MS = 100;
 const FLEXIBLE_SHARE = 0.25;
-const TARGET = 1.05;
-/** Ours is to be within this factor of the best. */
-const WITHIN_BEST = 1.02;
+const MAX_OVER_MEAN_LIMIT = 1.05;
+/** Limit of the imbalance under `weldyard`, relative to the best policy. */
+const MAX_RATIO_TO_BEST = 1.02;
 const DESTINATION = {address: 0x0a140001, port: 443, service: 'a/b'};
 
-/** Chooses at random. */
+/** Selects a server at random. */
 class RandomPlacement extends Placement {
   constructor(private readonly random: Random) {
     super();
@@ -42,7 +42,7 @@
   }
 }
 
-/** Chooses one after the other. */
+/** Selects servers in round-robin order. */
 class RoundRobinPlacement extends Placement {
   private next = 0;
 
@@ -52,8 +52,8 @@
   }
 }
 
-/** Chooses the fewest flows by this daemon's own count. */
-class LeastOwnPlacement extends Placement {
+/** Selects the server with the fewest flows from this daemon, by weight. */
+class LeastLocalPlacement extends Placement {
   choose(candidates: readonly Candidate[]): number {
     return candidates.reduce((best, next) =>
       next.ownFlows / next.weight < best.ownFlows / best.weight ? next : best,
@@ -61,7 +61,7 @@
   }
 }
 
-/** Chooses the fewest flows by the servers' reports, which lag or mislead. */
+/** Selects the server that reports the fewest flows; reports may be late or wrong. */
 class LeastReportedPlacement extends Placement {
   constructor(private readonly reported: (server: number) => number) {
     super();
@@ -74,50 +74,50 @@
   }
 }
 
-/** What happens to the servers while flows open. */
-interface Case {
+/** Servers, and what happens to them while flows open. */
+interface Scenario {
   readonly name: string;
   readonly weights: readonly number[];
-  /** Flows open at the end, for each server. */
-  readonly flowsAServer: number;
-  /** A server that joins when half of the flows are open. */
+  /** Open flows per server at the end. */
+  readonly flowsPerServer: number;
+  /** Whether the last server joins when half of the flows are open. */
   readonly joins?: boolean;
-  /** A server that takes no new flows in the second quarter. */
+  /** Whether the first server takes no new flows in the second quarter. */
   readonly sheds?: boolean;
-  /** Share of open flows that end in each step, once all are open. */
+  /** Share of flows replaced by new ones in each step, once all are open. */
   readonly churn?: number;
 }
 
-const CASES: readonly Case[] = [
+const SCENARIOS: readonly Scenario[] = [
   {
     name: 'steady',
     weights: new Array<number>(10).fill(1),
-    flowsAServer: FLOWS_A_SERVER,
+    flowsPerServer: FLOWS_PER_SERVER,
   },
-  {name: 'few-servers', weights: [1, 1, 1], flowsAServer: FLOWS_A_SERVER},
+  {name: 'few-servers', weights: [1, 1, 1], flowsPerServer: FLOWS_PER_SERVER},
   {
     name: 'unequal-servers',
     weights: [1, 1, 1, 2, 2, 2, 3, 3, 4, 4],
-    flowsAServer: FLOWS_A_SERVER,
+    flowsPerServer: FLOWS_PER_SERVER,
   },
   {
     name: 'cold-start',
     weights: new Array<number>(10).fill(1),
-    flowsAServer: FLOWS_A_SERVER,
+    flowsPerServer: FLOWS_PER_SERVER,
     joins: true,
     churn: 0.01,
   },
   {
     name: 'shedding',
     weights: new Array<number>(10).fill(1),
-    flowsAServer: FLOWS_A_SERVER,
+    flowsPerServer: FLOWS_PER_SERVER,
     sheds: true,
     churn: 0.01,
   },
   {
     name: 'misleading-load',
     weights: new Array<number>(10).fill(1),
-    flowsAServer: FLOWS_A_SERVER,
+    flowsPerServer: FLOWS_PER_SERVER,
   },
 ];
 
@@ -130,34 +130,39 @@
 ] as const;
 type Policy = (typeof POLICIES)[number];
 
-/** Evenness of open flows, by case and policy. */
+/** Reports the imbalance of open flows by scenario and policy. */
 export const imbalance: Experiment = {
   name: 'imbalance',
-  summary: 'placing policies under cold start, shedding, unequal servers',
+  summary: 'placement policies under cold start, shedding, unequal servers',
   run: async context => {
     const hasher = await XxhashHasher.create();
     const rows: ({case: string; policy: Policy} & Imbalance)[] = [];
-    await CASES.reduce(async (earlierCase, setting) => {
-      await earlierCase;
+    await SCENARIOS.reduce(async (earlierScenario, scenario) => {
+      await earlierScenario;
       await POLICIES.reduce(async (earlier, policy) => {
         await earlier;
-        const result = await runCase(context, hasher, setting, policy);
-        context.say(`${setting.name} ${policy} ${result.maxOverMean}`);
-        rows.push({case: setting.name, policy, ...result});
+        const result = await runScenario(context, hasher, scenario, policy);
+        context.log(`${scenario.name} ${policy} ${result.maxOverMean}`);
+        rows.push({case: scenario.name, policy, ...result});
       }, Promise.resolve());
     }, Promise.resolve());
     return {
       figures: {cases: rows},
-      broken: brokenPromises(
-        CASES.flatMap(({name}) => {
-          const own = rows.filter(row => row.case === name);
-          const best = Math.min(...own.map(({maxOverMean}) => maxOverMean));
-          const ours = own.find(({policy}) => policy === 'weldyard');
-          const figure = ours?.maxOverMean ?? Infinity;
+      failures: collectFailures(
+        SCENARIOS.flatMap(({name}) => {
+          const results = rows.filter(row => row.case === name);
+          const best = Math.min(...results.map(({maxOverMean}) => maxOverMean));
+          const weldyardResult = results.find(
+            ({policy}) => policy === 'weldyard',
+          );
+          const figure = weldyardResult?.maxOverMean ?? Infinity;
           return [
-            [figure <= TARGET, `${name}: ${figure} is over ${TARGET}`] as const,
             [
-              figure <= best * WITHIN_BEST,
+              figure <= MAX_OVER_MEAN_LIMIT,
+              `${name}: ${figure} is over ${MAX_OVER_MEAN_LIMIT}`,
+            ] as const,
+            [
+              figure <= best * MAX_RATIO_TO_BEST,
               `${name}: ${figure} is not within 2% of the best, ${best}`,
             ] as const,
           ];
@@ -176,20 +181,20 @@
     weldyard: () => LeastLoadedPlacement.create(),
     random: () => new RandomPlacement(random),
     'round-robin': () => new RoundRobinPlacement(),
-    'least-own': () => new LeastOwnPlacement(),
+    'least-own': () => new LeastLocalPlacement(),
     'least-reported': () => new LeastReportedPlacement(reported),
   };
   return placements[policy]();
 }
 
-async function runCase(
+async function runScenario(
   context: ExperimentContext,
   hasher: Hasher,
-  setting: Case,
+  scenario: Scenario,
   policy: Policy,
 ): Promise<Imbalance> {
   const random = Random.create(context.seed);
-  const ids = setting.weights.map((_, index) => `10.1.0.${index + 1}:80`);
+  const ids = scenario.weights.map((_, index) => `10.1.0.${index + 1}:80`);
   const share = policy === 'weldyard' ? FLEXIBLE_SHARE : 1;
   const reports = new Map<string, number>();
   const fleet: MemoryFleet = MemoryFleet.create({
@@ -202,9 +207,9 @@
         return reports.get(directory.idOf(server)) ?? 0;
       }),
   });
-  const first = setting.joins === true ? ids.slice(0, -1) : ids;
-  fleet.revision = revisionOf(1, [
-    generation(1, first, setting.weights, share),
+  const first = scenario.joins === true ? ids.slice(0, -1) : ids;
+  fleet.revision = createRevision(1, [
+    createGeneration(1, first, scenario.weights, share),
   ]);
   await Array.from({length: DAEMONS}).reduce(async (earlier, _, index) => {
     await earlier;
@@ -212,45 +217,45 @@
     await fleet.clock.advance(50);
   }, Promise.resolve());
   await fleet.clock.advance(4_000);
-  const load = new FlowLoad(fleet, random);
-  const total = setting.flowsAServer * ids.length;
+  const load = new FlowGenerator(fleet, random);
+  const total = scenario.flowsPerServer * ids.length;
   while (load.count < total) {
-    load.open(FLOWS_A_STEP);
+    load.open(FLOWS_PER_STEP);
     await fleet.clock.advance(STEP_MS);
-    updateReports(fleet, ids, reports, setting.name === 'misleading-load');
-    if (setting.joins === true && load.passed(total / 2)) {
-      addServer(fleet, ids, setting.weights, share);
+    updateReports(fleet, ids, reports, scenario.name === 'misleading-load');
+    if (scenario.joins === true && load.crossed(total / 2)) {
+      addServer(fleet, ids, scenario.weights, share);
     }
-    if (setting.sheds === true && load.passed(total / 4)) {
+    if (scenario.sheds === true && load.crossed(total / 4)) {
       fleet.mark(ids[0], MarkState.LEAVING, fleet.running);
     }
-    if (setting.sheds === true && load.passed(total / 2)) {
+    if (scenario.sheds === true && load.crossed(total / 2)) {
       fleet.mark(ids[0], MarkState.LIVE, fleet.running);
     }
   }
-  await churn(fleet, load, setting, total);
+  await churn(fleet, load, scenario, total);
   const counts = ids.map(id => fleet.backends.flowsOf(id).size);
-  return imbalanceOf(counts, setting.weights);
+  return computeImbalance(counts, scenario.weights);
 }
 
-/** Flows end and others open, so that a change can even out. */
+/** Replaces open flows by new ones, so that the counts can even out. */
 async function churn(
   fleet: MemoryFleet,
-  load: FlowLoad,
-  setting: Case,
+  load: FlowGenerator,
+  scenario: Scenario,
   total: number,
 ): Promise<void> {
-  const steps = setting.churn === undefined ? 0 : 200;
+  const steps = scenario.churn === undefined ? 0 : 200;
   await Array.from({length: steps}).reduce(async earlier => {
     await earlier;
-    const ended = Math.round(total * (setting.churn ?? 0));
+    const ended = Math.round(total * (scenario.churn ?? 0));
     load.close(ended);
     load.open(ended);
     await fleet.clock.advance(STEP_MS * 5);
   }, Promise.resolve());
 }
 
-/** Reports are two seconds old; a misleading server says half of its load. */
+/** Updates reports every 2 s; a misleading server reports half of its flows. */
 function updateReports(
   fleet: MemoryFleet,
   ids: readonly string[],
@@ -266,12 +271,12 @@
   });
 }
 
-/** Opens and closes numbered flows. */
-class FlowLoad {
+/** Opens numbered flows and closes random ones. */
+class FlowGenerator {
   count = 0;
-  private next = 0;
-  private before = 0;
-  private readonly open_: number[] = [];
+  private nextFlow = 0;
+  private previousCount = 0;
+  private readonly openFlows: number[] = [];
 
   constructor(
     private readonly fleet: MemoryFleet,
@@ -279,29 +284,29 @@
   ) {}
 
   open(count: number): void {
-    this.before = this.count;
+    this.previousCount = this.count;
     Array.from({length: count}).forEach(() => {
-      this.send(this.next, PacketKind.OPEN);
-      this.open_.push(this.next);
-      this.next += 1;
+      this.send(this.nextFlow, PacketKind.OPEN);
+      this.openFlows.push(this.nextFlow);
+      this.nextFlow += 1;
     });
     this.count += count;
   }
 
   close(count: number): void {
     Array.from({length: count}).forEach(() => {
-      const place = this.random.below(this.open_.length);
-      const flow = this.open_[place];
-      this.open_[place] = this.open_[this.open_.length - 1];
-      this.open_.pop();
+      const place = this.random.below(this.openFlows.length);
+      const flow = this.openFlows[place];
+      this.openFlows[place] = this.openFlows[this.openFlows.length - 1];
+      this.openFlows.pop();
       this.send(flow, PacketKind.CLOSE);
     });
     this.count -= count;
   }
 
-  /** Whether the last step reached a number of flows. */
-  passed(count: number): boolean {
-    return this.before < count && this.count >= count;
+  /** Returns whether the last `open` reached a number of flows. */
+  crossed(count: number): boolean {
+    return this.previousCount < count && this.count >= count;
   }
 
   private send(flow: number, kind: PacketKind): void {
@@ -312,7 +317,7 @@
   }
 }
 
-function generation(
+function createGeneration(
   since: number,
   ids: readonly string[],
   weights: readonly number[],
@@ -327,7 +332,7 @@
   };
 }
 
-function revisionOf(
+function createRevision(
   revision: number,
   generations: readonly AddressGeneration[],
 ): RoutingRevision {
@@ -353,11 +358,11 @@
   weights: readonly number[],
   share: number,
 ): void {
-  const before = generation(1, ids.slice(0, -1), weights, share);
+  const before = createGeneration(1, ids.slice(0, -1), weights, share);
   fleet.edit(
-    revisionOf(2, [
+    createRevision(2, [
       {...before, endedAtMs: fleet.clock.wall()},
-      generation(2, ids, weights, share),
+      createGeneration(2, ids, weights, share),
     ]),
     fleet.running.slice(0, 2),
   );
--- a/bench/experiments/membership.ts
+++ b/bench/experiments/membership.ts
@@ -1,4 +1,4 @@
-/** Cost and speed of membership by number of daemons. */
+/** Measures cost and failure detection time of membership by number of daemons. */
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
 import {MemberState} from '../../src/membership/member.js';
 import {MESH_LIMIT} from '../../src/membership/timing.js';
@@ -6,21 +6,21 @@
 import {Cluster, pause} from '../cluster.js';
 import {fitLine, round} from '../measures.js';
 import {HANDHELD, PARKWISE_DOMAINS} from '../plans.js';
-import {usageOf} from '../process-usage.js';
+import {readProcessUsage} from '../process-usage.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
 const SIZES = [8, 16, 32, 64];
 const MEASURE_MS = 6_000;
-const DETECT_LIMIT_MS = 15_000;
-const POLL_MS = 50;
-/** Bytes of UDP and IP headers a datagram. */
+const DETECTION_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 50;
+/** UDP and IP headers of a datagram. */
 const HEADER_BYTES = 28;
-const LIMIT_BYTES = 4_000;
-const LOSS = 0.1;
+const MAX_BYTES_PER_SECOND = 4_000;
+const LOSS_RATE = 0.1;
 const LOSS_MINUTES = 5;
 
 interface SizeFigures {
@@ -32,15 +32,16 @@
   readonly detectionMs: number;
 }
 
-/** Membership at several sizes, and false suspicions under loss. */
+/** Reports membership at several sizes, and false suspicions under packet loss. */
 export const membership: Experiment = {
   name: 'membership',
-  summary: 'bytes, processor share, detection time at 8 to 64 daemons',
+  summary:
+    'bytes, processor share and failure detection time at 8 to 64 daemons',
   run: async context => {
     const sizes: SizeFigures[] = [];
     await SIZES.reduce(async (earlier, daemons) => {
       await earlier;
-      sizes.push(await runSize(context, daemons));
+      sizes.push(await measureSize(context, daemons));
     }, Promise.resolve());
     const falseSuspicions = await countFalseSuspicions(context.seed);
     // Above the mesh limit each daemon probes a constant number of others.
@@ -57,19 +58,25 @@
         bytesPerSecondAt2900: Math.round(slope.intercept + slope.slope * 2_900),
         falseSuspicions,
       },
-      broken: brokenPromises([
-        [atEight <= LIMIT_BYTES, `${atEight} bytes/s a daemon at 8`],
-        [falseSuspicions.falseDeaths === 0, 'a live daemon was buried'],
+      failures: collectFailures([
+        [
+          atEight <= MAX_BYTES_PER_SECOND,
+          `${atEight} bytes/s per daemon at 8 daemons is over ${MAX_BYTES_PER_SECOND}`,
+        ],
+        [
+          falseSuspicions.falseDeaths === 0,
+          `${falseSuspicions.falseDeaths} live daemons were declared dead`,
+        ],
       ]),
     };
   },
 };
 
-async function runSize(
+async function measureSize(
   context: ExperimentContext,
   daemons: number,
 ): Promise<SizeFigures> {
-  const cluster = context.use(
+  const cluster = context.registerCluster(
     await Cluster.create({
       daemons,
       domains: PARKWISE_DOMAINS,
@@ -78,9 +85,9 @@
     }),
   );
   await pause(2_000);
-  const before = await snapshot(cluster);
+  const before = await readTotals(cluster);
   await pause(MEASURE_MS);
-  const after = await snapshot(cluster);
+  const after = await readTotals(cluster);
   const seconds = MEASURE_MS / 1_000;
   const rate = (name: keyof typeof after) =>
     (after[name] - before[name]) / seconds / daemons;
@@ -95,13 +102,13 @@
     healthProbesPerSecond: round(rate('probes')),
     detectionMs,
   };
-  context.say(JSON.stringify(figures));
+  context.log(JSON.stringify(figures));
   return figures;
 }
 
-/** Sums over all daemons. */
-async function snapshot(cluster: Cluster) {
-  const statuses = await cluster.statuses();
+/** Sums counters and processor time over all daemons. */
+async function readTotals(cluster: Cluster) {
+  const statuses = await cluster.readStatuses();
   const counters = statuses.map(
     ({countersJson}) => JSON.parse(countersJson) as Record<string, number>,
   );
@@ -109,7 +116,7 @@
     counters.reduce((total, own) => total + (own[name] ?? 0), 0);
   const cpu = [...cluster.daemons.keys()]
     .map(id => cluster.processes.get(id)?.child.pid ?? 0)
-    .reduce((total, pid) => total + usageOf(pid).cpuSeconds, 0);
+    .reduce((total, pid) => total + readProcessUsage(pid).cpuSeconds, 0);
   return {
     bytes: sum('control.bytes_sent'),
     datagrams: sum('control.datagrams_sent'),
@@ -118,21 +125,24 @@
   };
 }
 
-/** Time from a kill until every other daemon has one owner fewer. */
+/**
+ * Returns the milliseconds from a kill until every other daemon has removed the
+ * member, or those until the timeout.
+ */
 async function measureDetection(cluster: Cluster): Promise<number> {
   const expected = cluster.daemons.size - 1;
   const [victim] = [...cluster.daemons.keys()];
   cluster.killDaemon(victim);
   const startMs = Date.now();
   const known = async () =>
-    (await cluster.statuses()).every(({members}) => members === expected);
-  while (!(await known()) && Date.now() - startMs < DETECT_LIMIT_MS) {
-    await pause(POLL_MS);
+    (await cluster.readStatuses()).every(({members}) => members === expected);
+  while (!(await known()) && Date.now() - startMs < DETECTION_TIMEOUT_MS) {
+    await pause(POLL_INTERVAL_MS);
   }
   return Date.now() - startMs;
 }
 
-/** Eight coordinators under datagram loss, in virtual time. */
+/** Counts suspicions and false deaths among eight daemons under datagram loss. */
 async function countFalseSuspicions(seed: number) {
   const hasher = await XxhashHasher.create();
   const fleet = MemoryFleet.create({hasher, seed, services: new Map()});
@@ -152,7 +162,7 @@
       counts.falseDeaths += turned && member.state === MemberState.DEAD ? 1 : 0;
     }),
   );
-  fleet.network.faults.loss = LOSS;
+  fleet.network.faults.loss = LOSS_RATE;
   await fleet.clock.advance(LOSS_MINUTES * 60_000);
-  return {loss: LOSS, minutes: LOSS_MINUTES, daemons: 8, ...counts};
+  return {loss: LOSS_RATE, minutes: LOSS_MINUTES, daemons: 8, ...counts};
 }
--- a/bench/experiments/overload.ts
+++ b/bench/experiments/overload.ts
@@ -1,51 +1,51 @@
-/** Half to three times the servers' capacity. */
+/** Offers load from half to three times the servers' capacity. */
 import {round} from '../measures.js';
 import {pause} from '../cluster.js';
 import {
-  SHEETS,
-  capacityOf,
+  DOCUMENTS,
+  computeCapacity,
   createRequestCluster,
   waitForRequests,
 } from '../request-bench.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
-const LOADS = [0.5, 0.8, 1, 1.5, 2, 3];
-const SECONDS = 6;
+const LOAD_FACTORS = [0.5, 0.8, 1, 1.5, 2, 3];
+const STEP_SECONDS = 6;
 const DEADLINE_MS = 2_000;
 const WARM_UP_SECONDS = 2;
-/** Time beyond the deadline that a reply may take, in milliseconds. */
+/** Added to the deadline for the reply's way to the caller. */
 const REPLY_GRACE_MS = 100;
 
 interface Point {
   readonly load: number;
   readonly goodput: number;
   readonly p99Ms: number;
-  /** Tries at servers that were meant to be the first or a repeat, a request. */
+  /** Attempts at servers, retries included, per request that was tried at all. */
   readonly amplification: number;
   readonly refusedShare: number;
 }
 
-/** Goodput past saturation, ours beside the naive way. */
+/** Compares goodput past saturation under the `weldyard` and `naive` policies. */
 export const overload: Experiment = {
   name: 'overload',
   summary: '0.5 to 3 times the capacity: goodput, p99, amplification',
   run: async context => {
-    const [ours, naive] = await Promise.all([
+    const [weldyard, naive] = await Promise.all([
       runLoads(context, 'weldyard'),
       runLoads(context, 'naive'),
     ]);
-    const summary = summarise(ours);
+    const summary = summarize(weldyard);
     return {
       figures: {
         ...summary,
-        points: ours,
-        naive: {...summarise(naive), points: naive},
+        points: weldyard,
+        naive: {...summarize(naive), points: naive},
       },
-      broken: brokenPromises([
+      failures: collectFailures([
         [
           summary.goodputAtThreeOverPeak >= 0.95,
           `goodput at three times is ${summary.goodputAtThreeOverPeak} of peak`,
@@ -63,7 +63,7 @@
   },
 };
 
-function summarise(points: readonly Point[]) {
+function summarize(points: readonly Point[]) {
   const peak = Math.max(...points.map(({goodput}) => goodput));
   const last = points[points.length - 1];
   return {
@@ -78,55 +78,58 @@
   policy: 'weldyard' | 'naive',
 ): Promise<Point[]> {
   const cluster = await createRequestCluster(context, {
-    services: [SHEETS],
+    services: [DOCUMENTS],
     requestPolicy: policy,
   });
   const points: Point[] = [];
   const order = (rate: number, seconds: number) => ({
-    workspace: SHEETS.workspace,
-    service: SHEETS.service,
+    workspace: DOCUMENTS.workspace,
+    service: DOCUMENTS.service,
     repeatable: true,
     rate,
     seconds,
     deadlineMs: DEADLINE_MS,
     duplicates: 0,
   });
-  const warmUp = Math.round(capacityOf(SHEETS) * 0.5);
+  const warmUp = Math.round(computeCapacity(DOCUMENTS) * 0.5);
   await cluster.sendRequests(order(warmUp, WARM_UP_SECONDS));
   let expected = warmUp * WARM_UP_SECONDS;
   await waitForRequests(cluster, expected);
-  await LOADS.reduce(async (earlier, load) => {
+  await LOAD_FACTORS.reduce(async (earlier, load) => {
     await earlier;
-    const rate = Math.round(capacityOf(SHEETS) * load);
-    const before = await attempts();
-    await cluster.sendRequests(order(rate, SECONDS));
-    expected += rate * SECONDS;
-    await pause(SECONDS * 1_000);
+    const rate = Math.round(computeCapacity(DOCUMENTS) * load);
+    const before = await countAttempts();
+    await cluster.sendRequests(order(rate, STEP_SECONDS));
+    expected += rate * STEP_SECONDS;
+    await pause(STEP_SECONDS * 1_000);
     const reports = await waitForRequests(cluster, expected);
     const report = reports[reports.length - 1];
-    const tried = (await attempts()) - before;
-    const firstTries = report.requests - refusedHere(report.reasons);
+    const attempts = (await countAttempts()) - before;
+    const firstAttempts =
+      report.requests - countRefusedBeforeAttempt(report.reasons);
     const point = {
       load,
-      goodput: round(report.answered / SECONDS),
+      goodput: round(report.answered / STEP_SECONDS),
       p99Ms: report.p99Ms,
-      amplification: round(tried / Math.max(1, firstTries)),
+      amplification: round(attempts / Math.max(1, firstAttempts)),
       refusedShare: round(report.notRun / report.requests),
     };
-    context.say(`${policy} ${JSON.stringify(point)}`);
+    context.log(`${policy} ${JSON.stringify(point)}`);
     points.push(point);
   }, Promise.resolve());
   await cluster.close();
   return points;
 
-  async function attempts(): Promise<number> {
-    const backends = await cluster.backendReports();
+  async function countAttempts(): Promise<number> {
+    const backends = await cluster.readBackendReports();
     return backends.reduce((sum, {started, shed}) => sum + started + shed, 0);
   }
 }
 
-/** Requests that were refused before any server was tried. */
-function refusedHere(reasons: Readonly<Record<string, number>>): number {
+/** Counts requests that a daemon refused without an attempt at a server. */
+function countRefusedBeforeAttempt(
+  reasons: Readonly<Record<string, number>>,
+): number {
   return [
     'deadline-cannot-be-met',
     'no-slot-before-deadline',
--- a/bench/experiments/placing.ts
+++ b/bench/experiments/placing.ts
@@ -1,4 +1,4 @@
-/** Ways to place new flows on a fabric with cookies, side by side. */
+/** Compares placement policies for new flows on a fabric with cookies. */
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
 import type {Hasher} from '../../src/ports/hasher.js';
 import {
@@ -19,34 +19,34 @@
 const PAY = createRoute('pay', {address: 0xc6120001, port: 443});
 const SERVERS = 10;
 const SLOTS = 3;
-const WORK_MS = 50;
-const CALL_LIMIT_MS = 1_500;
-/** Times between two callers; the capacity is one in 1.7 ms. */
-const CALL_GAPS_MS: Readonly<Record<string, number>> = {
+const SERVICE_MS = 50;
+const CALL_DEADLINE_MS = 1_500;
+/** Time between two calls by load; the servers can serve one per 1.7 ms. */
+const CALL_INTERVALS_MS: Readonly<Record<string, number>> = {
   calm: 5,
   burst: 2,
 };
 const CALLS = 2_000;
 
-/** Takes what chance prefers, as a hash of the flow would. */
+/** Selects the preferred server, as a hash of the flow would. */
 class HashPlacement extends Placement {
   choose(_candidates: readonly Candidate[], preferred: number): number {
     return preferred;
   }
 }
 
-type Load = (candidate: Candidate) => number;
+type LoadFunction = (candidate: Candidate) => number;
 
-/** The lighter of two that chance names, by one of several counts. */
+/** Selects the less loaded of the preferred and a random server. */
 class TwoChoicesPlacement extends Placement {
   private constructor(
     private readonly random: Random,
-    private readonly loadOf: Load,
+    private readonly loadOf: LoadFunction,
   ) {
     super();
   }
 
-  static create(random: Random, loadOf: Load): TwoChoicesPlacement {
+  static create(random: Random, loadOf: LoadFunction): TwoChoicesPlacement {
     return new TwoChoicesPlacement(random, loadOf);
   }
 
@@ -61,13 +61,13 @@
   }
 }
 
-/** The policies and loads, each with how long answered calls took. */
+/** Reports the answered share and latency by policy and load. */
 export const placing: Experiment = {
   name: 'placing',
-  summary: 'hash only, two choices and least work on a fabric with cookies',
+  summary: 'hash only, two choices and least load on a fabric with cookies',
   run: async context => {
     const hasher = await XxhashHasher.create();
-    const twoChoices = (loadOf: Load) =>
+    const twoChoices = (loadOf: LoadFunction) =>
       TwoChoicesPlacement.create(Random.create(context.seed), loadOf);
     const policies: Readonly<Record<string, () => Placement>> = {
       hash: () => new HashPlacement(),
@@ -79,7 +79,7 @@
       leastWork: () => LeastLoadedPlacement.create(),
     };
     const cases = Object.entries(policies).flatMap(([policy, create]) =>
-      Object.keys(CALL_GAPS_MS).map(load => ({policy, load, create})),
+      Object.keys(CALL_INTERVALS_MS).map(load => ({policy, load, create})),
     );
     const rows = await cases.reduce(
       async (before, {policy, load, create}) => [
@@ -88,7 +88,7 @@
       ],
       Promise.resolve<object[]>([]),
     );
-    return {figures: {rows}, broken: []};
+    return {figures: {rows}, failures: []};
   },
 };
 
@@ -98,34 +98,36 @@
   load: string,
   placement: Placement,
 ) {
-  context.say(`${placement.constructor.name} under ${load}`);
-  const world = await SimulatedPlatform.create(
-    planOf(context.seed, placement),
+  context.log(`${placement.constructor.name} under ${load}`);
+  const simulation = await SimulatedPlatform.create(
+    createPlan(context.seed, placement),
     hasher,
   );
   for (let call = 0; call < CALLS; call += 1) {
-    world.call(PAY, 1, CALL_LIMIT_MS);
-    await world.clock.advance(CALL_GAPS_MS[load]);
+    simulation.call(PAY, 1, CALL_DEADLINE_MS);
+    await simulation.clock.advance(CALL_INTERVALS_MS[load]);
   }
-  await world.clock.advance(CALL_LIMIT_MS);
-  const took = [...world.tally.tookMs].sort((a, b) => a - b);
-  const at = (share: number) =>
-    round(took[Math.floor(took.length * share)] ?? 0);
-  const {answered} = world.tally.ends;
+  await simulation.clock.advance(CALL_DEADLINE_MS);
+  const sortedMs = [...simulation.tally.tookMs].sort((a, b) => a - b);
+  const percentile = (share: number) =>
+    round(sortedMs[Math.floor(sortedMs.length * share)] ?? 0);
+  const {answered} = simulation.tally.ends;
   return {
     answeredShare: round(answered / CALLS),
-    p50Ms: at(0.5),
-    p99Ms: at(0.99),
-    broken: world.broken.length,
+    p50Ms: percentile(0.5),
+    p99Ms: percentile(0.99),
+    broken: simulation.broken.length,
   };
 }
 
-function planOf(seed: number, placement: Placement): SimulationPlan {
+function createPlan(seed: number, placement: Placement): SimulationPlan {
   return {
     seed,
     daemons: 8,
     failureDomains: ['a', 'b', 'c'],
-    services: [{name: 'pay', servers: SERVERS, slots: SLOTS, workMs: WORK_MS}],
+    services: [
+      {name: 'pay', servers: SERVERS, slots: SLOTS, workMs: SERVICE_MS},
+    ],
     routes: [PAY],
     bounds: {drainMs: 3_000, configurationMs: 3_000, evacuationMs: 3_000},
     placement,
--- a/bench/experiments/replication.ts
+++ b/bench/experiments/replication.ts
@@ -1,42 +1,49 @@
-/** Copies of all flows, of exceptions only, and none. */
+/** Compares replicating all flows, exceptions only, and none. */
 import {Cluster, pause} from '../cluster.js';
-import {round, sumOf, totalsOf} from '../measures.js';
+import {round, sumReports, computeFlowTotals} from '../measures.js';
 import {METERPAY, PARKWISE_DOMAINS} from '../plans.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
 const DAEMONS = 8;
-const FLOWS_A_SERVER = 200;
-const OPEN_RATE = 1_000;
-const WATCH_MS = 9_000;
-const OLD_ENOUGH_MS = 1_500;
+const FLOWS_PER_SERVER = 200;
+const OPENS_PER_SECOND = 1_000;
+const OBSERVATION_MS = 9_000;
+const SETTLE_MS = 1_500;
 
-const WAYS = [
-  {way: 'all', policy: 'all-flows'},
-  {way: 'exceptions', policy: 'weldyard'},
-  {way: 'none', policy: 'naive'},
+const MODES = [
+  {mode: 'all', policy: 'all-flows'},
+  {mode: 'exceptions', policy: 'weldyard'},
+  {mode: 'none', policy: 'naive'},
 ] as const;
 
-/** Broken flows and bytes of the three ways, through a drain and a crash. */
+/** Reports broken flows and bytes by mode, through a drain and a crash. */
 export const replication: Experiment = {
   name: 'replication',
-  summary: 'all flows, exceptions only or none copied: broken flows and bytes',
+  summary:
+    'all flows, exceptions only or none replicated: broken flows and bytes',
   run: async context => {
-    const ways = await Promise.all(
-      WAYS.map(({way, policy}) => runOnce(context, way, policy)),
+    const results = await Promise.all(
+      MODES.map(({mode, policy}) => runOnce(context, mode, policy)),
     );
-    const [all, exceptions, none] = ways;
+    const [all, exceptions, none] = results;
     return {
       figures: {all, exceptions, none},
-      broken: brokenPromises([
-        [exceptions.brokenFlows === 0, 'exceptions: flows were broken'],
-        [none.brokenFlows > 0, 'none: nothing broken, no measure'],
+      failures: collectFailures([
+        [
+          exceptions.brokenFlows === 0,
+          `exceptions: ${exceptions.brokenFlows} flows were broken`,
+        ],
+        [
+          none.brokenFlows > 0,
+          'none: no flows were broken, so the comparison shows nothing',
+        ],
         [
           exceptions.bytesPerFlow < all.bytesPerFlow,
-          'exceptions cost more than all flows',
+          'replicating exceptions cost as many bytes as replicating all flows',
         ],
       ]),
     };
@@ -45,10 +52,10 @@
 
 async function runOnce(
   context: ExperimentContext,
-  way: string,
+  mode: string,
   policy: 'weldyard' | 'all-flows' | 'naive',
 ) {
-  const cluster = context.use(
+  const cluster = context.registerCluster(
     await Cluster.create({
       daemons: DAEMONS,
       domains: PARKWISE_DOMAINS,
@@ -62,41 +69,41 @@
     {
       service: 'parkwise/meterpay',
       address: METERPAY.address,
-      count: METERPAY.servers * FLOWS_A_SERVER,
-      rate: OPEN_RATE,
+      count: METERPAY.servers * FLOWS_PER_SERVER,
+      rate: OPENS_PER_SECOND,
     },
   ]);
-  await pause(OLD_ENOUGH_MS);
-  const [server] = cluster.serversOf('parkwise/meterpay');
-  await cluster.backend(server, {draining: true});
-  await pause(OLD_ENOUGH_MS);
-  const bytes = await counterSum(cluster, 'replication.bytes_sent');
-  const entries = await counterSum(cluster, 'replication.entries_sent');
+  await pause(SETTLE_MS);
+  const [server] = cluster.listServers('parkwise/meterpay');
+  await cluster.controlBackend(server, {draining: true});
+  await pause(SETTLE_MS);
+  const bytes = await sumCounter(cluster, 'replication.bytes_sent');
+  const entries = await sumCounter(cluster, 'replication.entries_sent');
   const seconds = (Date.now() - started) / 1_000;
   const [first] = [...cluster.daemons.keys()];
   cluster.killDaemon(first);
-  await pause(WATCH_MS);
-  const report = await cluster.flows();
-  const totals = totalsOf(report);
+  await pause(OBSERVATION_MS);
+  const report = await cluster.controlFlowCallers();
+  const totals = computeFlowTotals(report);
   report.services.forEach(({brokenExamples}) =>
-    brokenExamples.forEach(example => context.say(`${way}: ${example}`)),
+    brokenExamples.forEach(example => context.log(`${mode}: ${example}`)),
   );
-  const backends = await cluster.backendReports();
+  const backends = await cluster.readBackendReports();
   await cluster.close();
-  context.say(`${way}: ${totals.brokenFlows} broken, ${bytes} bytes`);
+  context.log(`${mode}: ${totals.brokenFlows} broken, ${bytes} bytes`);
   return {
     flows: totals.flows,
     brokenFlows: totals.brokenFlows,
-    misroutedPackets: sumOf(backends, ({misrouted}) => misrouted),
+    misroutedPackets: sumReports(backends, ({misrouted}) => misrouted),
     entriesSent: entries,
     bytesPerSecond: Math.round(bytes / seconds),
     bytesPerFlow: round(bytes / totals.flows),
   };
 }
 
-/** Sum of a counter over the daemons. */
-async function counterSum(cluster: Cluster, name: string): Promise<number> {
-  const statuses = await cluster.statuses();
+/** Sums a counter over the daemons. */
+async function sumCounter(cluster: Cluster, name: string): Promise<number> {
+  const statuses = await cluster.readStatuses();
   return statuses.reduce((sum, {countersJson}) => {
     const counters = JSON.parse(countersJson) as Record<string, number>;
     return sum + (counters[name] ?? 0);
--- a/bench/experiments/requests-faults.ts
+++ b/bench/experiments/requests-faults.ts
@@ -1,55 +1,70 @@
-/** Payments and sheets through every fault at once. */
+/** Sends requests while daemons, backend servers and the store fail. */
 import {Cluster, pause} from '../cluster.js';
 import {round} from '../measures.js';
 import {
   PAYMENTS,
-  SHEETS,
-  capacityOf,
+  DOCUMENTS,
+  computeCapacity,
   createRequestCluster,
-  judgeRequests,
+  verifyRequests,
   waitForRequests,
   type RequestVerdict,
 } from '../request-bench.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
-const LOAD = 0.7;
-const CALM_SECONDS = 12;
+const LOAD_FACTOR = 0.7;
+const PLANNED_CHANGE_SECONDS = 12;
 const FAULT_SECONDS = 45;
 const DEADLINE_MS = 5_000;
-const DUPLICATES = 0.05;
+const DUPLICATE_SHARE = 0.05;
 const STORE_DOWN_MS = 20_000;
 
 interface RunFigures extends RequestVerdict {
-  /** Requests without an end that a planned stop or drain caused. */
+  /** Requests with an unknown outcome during a planned stop and drain. */
   readonly cutOff: number;
-  /** Answers a second. */
+  /** Answers per second under faults. */
   readonly goodput: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
 }
 
-/** At most once and truthful refusals under faults, ours and naive. */
+/** Checks at-most-once execution and correct refusals, `weldyard` beside `naive`. */
 export const requestsFaults: Experiment = {
   name: 'requests-faults',
-  summary: 'payments and sheets through kills, pauses, drains, store outage',
+  summary: 'requests through kills, suspensions, drains and a store outage',
   run: async context => {
-    const [ours, naive] = await Promise.all([
+    const [weldyard, naive] = await Promise.all([
       runOnce(context, 'weldyard'),
       runOnce(context, 'naive'),
     ]);
     return {
-      figures: {...ours, naive},
-      broken: brokenPromises([
-        [ours.doubleRuns === 0, `${ours.doubleRuns} payments ran twice`],
-        [ours.falseNotRun === 0, `${ours.falseNotRun} false "not run"`],
-        [ours.wrongAnswers === 0, 'wrong answers'],
-        [ours.partialAnswers === 0, 'partial answers given as whole'],
-        [ours.cutOff === 0, `${ours.cutOff} requests were cut off`],
-        [naive.doubleRuns > 0, 'the naive way ran nothing twice: no measure'],
+      figures: {...weldyard, naive},
+      failures: collectFailures([
+        [
+          weldyard.doubleRuns === 0,
+          `${weldyard.doubleRuns} payments ran more than once`,
+        ],
+        [
+          weldyard.falseNotRun === 0,
+          `${weldyard.falseNotRun} requests reported as not run had run`,
+        ],
+        [weldyard.wrongAnswers === 0, `${weldyard.wrongAnswers} wrong answers`],
+        [
+          weldyard.partialAnswers === 0,
+          `${weldyard.partialAnswers} truncated answers were passed on as complete`,
+        ],
+        [
+          weldyard.cutOff === 0,
+          `${weldyard.cutOff} requests were interrupted by planned changes`,
+        ],
+        [
+          naive.doubleRuns > 0,
+          'the naive policy ran no payment twice, so the comparison shows nothing',
+        ],
       ]),
     };
   },
@@ -60,65 +75,69 @@
   policy: 'weldyard' | 'naive',
 ): Promise<RunFigures> {
   const cluster = await createRequestCluster(context, {
-    services: [PAYMENTS, SHEETS],
+    services: [PAYMENTS, DOCUMENTS],
     requestPolicy: policy,
   });
-  const calm = await sendLoad(cluster, CALM_SECONDS);
-  await plannedChanges(cluster);
-  await waitForRequests(cluster, calm);
-  const calmVerdict = await judgeRequests(cluster);
-  const cutOff = Math.round(calmVerdict.unknownShare * calmVerdict.requests);
-  context.say(`${policy}: planned changes done, ${cutOff} cut off`);
+  const planned = await sendLoad(cluster, PLANNED_CHANGE_SECONDS);
+  await makePlannedChanges(cluster);
+  await waitForRequests(cluster, planned);
+  const plannedVerdict = await verifyRequests(cluster);
+  const cutOff = Math.round(
+    plannedVerdict.unknownShare * plannedVerdict.requests,
+  );
+  context.log(
+    `${policy}: planned changes done, ${cutOff} requests interrupted`,
+  );
   const startMs = Date.now();
-  const all = calm + (await sendLoad(cluster, FAULT_SECONDS));
+  const all = planned + (await sendLoad(cluster, FAULT_SECONDS));
   await injectFaults(cluster);
   const reports = await waitForRequests(cluster, all);
   const seconds = (Date.now() - startMs) / 1_000;
-  const verdict = await judgeRequests(cluster);
+  const verdict = await verifyRequests(cluster);
   await cluster.close();
-  context.say(`${policy}: ${JSON.stringify(verdict.reasons)}`);
+  context.log(`${policy}: ${JSON.stringify(verdict.reasons)}`);
   return {
     ...verdict,
     cutOff,
-    goodput: round((verdict.answered - calmVerdict.answered) / seconds),
+    goodput: round((verdict.answered - plannedVerdict.answered) / seconds),
     p50Ms: Math.max(...reports.map(({p50Ms}) => p50Ms)),
     p99Ms: Math.max(...reports.map(({p99Ms}) => p99Ms)),
   };
 }
 
-/** Orders requests of both services; returns how many. */
+/** Starts sending requests to both services; returns how many. */
 async function sendLoad(cluster: Cluster, seconds: number): Promise<number> {
-  const orders = [PAYMENTS, SHEETS].map(plan => ({
+  const orders = [PAYMENTS, DOCUMENTS].map(plan => ({
     workspace: plan.workspace,
     service: plan.service,
     repeatable: plan.repeatable,
-    rate: Math.round(capacityOf(plan) * LOAD),
+    rate: Math.round(computeCapacity(plan) * LOAD_FACTOR),
     seconds,
     deadlineMs: DEADLINE_MS,
-    duplicates: DUPLICATES,
+    duplicates: DUPLICATE_SHARE,
   }));
   await Promise.all(orders.map(order => cluster.sendRequests(order)));
   return orders.reduce((sum, {rate}) => sum + rate * seconds, 0);
 }
 
-/** A planned stop and a drain: nothing in flight may be cut off. */
-async function plannedChanges(cluster: Cluster): Promise<void> {
-  const [server] = cluster.serversOf('parkwise/meterpay');
+/** Drains a server and replaces a daemon; no request in flight may be interrupted. */
+async function makePlannedChanges(cluster: Cluster): Promise<void> {
+  const [server] = cluster.listServers('parkwise/meterpay');
   await pause(1_000);
-  await cluster.backend(server, {draining: true});
+  await cluster.controlBackend(server, {draining: true});
   const [first] = [...cluster.daemons.keys()];
   cluster.startDaemon();
   await cluster.waitReady();
   await cluster.stopDaemon(first);
-  await cluster.backend(server, {draining: false});
+  await cluster.controlBackend(server, {draining: false});
 }
 
 async function injectFaults(cluster: Cluster): Promise<void> {
-  const payments = cluster.serversOf('parkwise/meterpay');
+  const payments = cluster.listServers('parkwise/meterpay');
   await cluster.store.turn({loseAnswers: 0.2, slowMs: 5});
   await Promise.all(
     payments.map(id =>
-      cluster.backend(id, {
+      cluster.controlBackend(id, {
         lateAnswers: 0.02,
         lostAnswers: 0.005,
         truncatedAnswers: 0.01,
@@ -133,8 +152,8 @@
   cluster.freezeDaemon(frozen, true);
   await pause(4_000);
   cluster.freezeDaemon(frozen, false);
-  await cluster.backend(payments[1], {shedding: true});
-  await cluster.backend(payments[2], {draining: true});
+  await cluster.controlBackend(payments[1], {shedding: true});
+  await cluster.controlBackend(payments[2], {draining: true});
   await pause(3_000);
   await cluster.store.turn({down: true});
   await pause(STORE_DOWN_MS / 2);
@@ -142,6 +161,6 @@
   cluster.killDaemon(second);
   await pause(STORE_DOWN_MS / 2);
   await cluster.store.turn({down: false, loseAnswers: 0, slowMs: 0});
-  await cluster.backend(payments[1], {shedding: false});
-  await cluster.backend(payments[2], {draining: false});
+  await cluster.controlBackend(payments[1], {shedding: false});
+  await cluster.controlBackend(payments[2], {draining: false});
 }
--- a/bench/experiments/rolling-replace.ts
+++ b/bench/experiments/rolling-replace.ts
@@ -1,21 +1,26 @@
-/** All daemons replaced one by one while a server drains and an edit is made. */
+/** Replaces all daemons one by one while a server drains and an edit is applied. */
 import {Cluster, pause} from '../cluster.js';
-import {imbalanceOf, sumOf, totalsOf, type Imbalance} from '../measures.js';
+import {
+  computeImbalance,
+  sumReports,
+  computeFlowTotals,
+  type Imbalance,
+} from '../measures.js';
 import {HANDHELD, METERPAY, PARKWISE_DOMAINS} from '../plans.js';
 import {
-  brokenPromises,
+  collectFailures,
   type Experiment,
   type ExperimentContext,
 } from './experiment.js';
 
 const DAEMONS = 8;
-const FLOWS_A_SERVER = 200;
-const OPEN_RATE = 1_000;
+const FLOWS_PER_SERVER = 200;
+const OPENS_PER_SECOND = 1_000;
 const SETTLE_MS = 3_000;
-const DRAIN_AFTER = 2;
-const EDIT_AFTER = 4;
+const DRAIN_AT_REPLACEMENT = 2;
+const EDIT_AT_REPLACEMENT = 4;
 
-/** What one run showed. */
+/** Figures of one run. */
 interface RunFigures {
   readonly flows: number;
   readonly brokenFlows: number;
@@ -25,25 +30,37 @@
   readonly latestOpenAfterDrainMs: number;
 }
 
-/** Rolling replacement, ours beside the naive way. */
+/** Compares a rolling replacement under the `weldyard` and `naive` policies. */
 export const rollingReplace: Experiment = {
   name: 'rolling-replace',
-  summary: '8 daemons replaced one by one, a drain and an edit meanwhile',
+  summary: '8 daemons replaced one by one during a drain and an edit',
   run: async context => {
-    const [ours, naive] = await Promise.all([
+    const [weldyard, naive] = await Promise.all([
       runOnce(context, 'weldyard'),
       runOnce(context, 'naive'),
     ]);
     return {
       figures: {
-        ...ours,
+        ...weldyard,
         naive: {brokenFlows: naive.brokenFlows, imbalance: naive.imbalance},
       },
-      broken: brokenPromises([
-        [ours.brokenFlows === 0, `${ours.brokenFlows} flows were broken`],
-        [ours.misroutedPackets === 0, 'packets were misrouted'],
-        [ours.latestOpenAfterDrainMs <= 3_000, 'a drained server got a flow'],
-        [naive.brokenFlows > 0, 'the naive way broke nothing: no measure'],
+      failures: collectFailures([
+        [
+          weldyard.brokenFlows === 0,
+          `${weldyard.brokenFlows} flows were broken`,
+        ],
+        [
+          weldyard.misroutedPackets === 0,
+          `${weldyard.misroutedPackets} packets were misrouted`,
+        ],
+        [
+          weldyard.latestOpenAfterDrainMs <= 3_000,
+          `a draining server got a flow ${weldyard.latestOpenAfterDrainMs} ms after the drain began`,
+        ],
+        [
+          naive.brokenFlows > 0,
+          'the naive policy broke no flows, so the comparison shows nothing',
+        ],
       ]),
     };
   },
@@ -54,7 +71,7 @@
   policy: 'weldyard' | 'naive',
 ): Promise<RunFigures> {
   const services = [METERPAY, HANDHELD];
-  const cluster = context.use(
+  const cluster = context.registerCluster(
     await Cluster.create({
       daemons: DAEMONS,
       domains: PARKWISE_DOMAINS,
@@ -67,12 +84,12 @@
     services.map(plan => ({
       service: `${plan.workspace}/${plan.service}`,
       address: plan.address,
-      count: plan.servers * FLOWS_A_SERVER,
-      rate: OPEN_RATE,
+      count: plan.servers * FLOWS_PER_SERVER,
+      rate: OPENS_PER_SECOND,
     })),
   );
-  const opened = await cluster.backendReports();
-  const imbalance = imbalanceOf(opened.map(({flows}) => flows));
+  const opened = await cluster.readBackendReports();
+  const imbalance = computeImbalance(opened.map(({flows}) => flows));
   await replaceAll(context, cluster, policy);
   await pause(SETTLE_MS);
   const figures = await readFigures(cluster, imbalance);
@@ -90,21 +107,21 @@
     await earlier;
     const domain = cluster.daemons.get(id)?.domain;
     cluster.startDaemon(domain);
-    if (index === DRAIN_AFTER) {
-      await drain(cluster);
+    if (index === DRAIN_AT_REPLACEMENT) {
+      await drainServer(cluster);
     }
-    if (index === EDIT_AFTER) {
-      await edit(cluster);
+    if (index === EDIT_AT_REPLACEMENT) {
+      await removeServers(cluster);
     }
     await cluster.waitReady();
     await cluster.stopDaemon(id);
-    context.say(`${policy}: ${index + 1} of ${first.length} replaced`);
+    context.log(`${policy}: ${index + 1} of ${first.length} replaced`);
   }, Promise.resolve());
 }
 
-async function drain(cluster: Cluster): Promise<void> {
-  const [server] = cluster.serversOf('parkwise/meterpay');
-  await cluster.backend(server, {draining: true});
+async function drainServer(cluster: Cluster): Promise<void> {
+  const [server] = cluster.listServers('parkwise/meterpay');
+  await cluster.controlBackend(server, {draining: true});
   await cluster.openFlows([
     {
       service: 'parkwise/meterpay',
@@ -115,28 +132,31 @@
   ]);
 }
 
-/** Takes the drained server and another one out of the configuration. */
-async function edit(cluster: Cluster): Promise<void> {
-  const [drained, other] = cluster.serversOf('parkwise/meterpay');
-  await cluster.apply('operator', cluster.configuration([drained, other]));
+/** Removes the draining server and another one from the configuration. */
+async function removeServers(cluster: Cluster): Promise<void> {
+  const [drained, other] = cluster.listServers('parkwise/meterpay');
+  await cluster.apply(
+    'operator',
+    cluster.createConfiguration([drained, other]),
+  );
 }
 
 async function readFigures(
   cluster: Cluster,
   imbalance: Imbalance,
 ): Promise<RunFigures> {
-  const report = await cluster.flows();
-  const backends = await cluster.backendReports();
-  const totals = totalsOf(report);
-  const brokenOf = (states: Readonly<Record<string, number>>) =>
+  const report = await cluster.controlFlowCallers();
+  const backends = await cluster.readBackendReports();
+  const totals = computeFlowTotals(report);
+  const countBroken = (states: Readonly<Record<string, number>>) =>
     states['broken'] ?? 0;
   const worst = report.services.reduce((a, b) =>
-    brokenOf(b.states) > brokenOf(a.states) ? b : a,
+    countBroken(b.states) > countBroken(a.states) ? b : a,
   );
   return {
     flows: totals.flows,
     brokenFlows: totals.brokenFlows + totals.refusedFlows,
-    misroutedPackets: sumOf(backends, ({misrouted}) => misrouted),
+    misroutedPackets: sumReports(backends, ({misrouted}) => misrouted),
     imbalance,
     worstService: worst.service,
     latestOpenAfterDrainMs: Math.max(
--- a/bench/experiments/store-outage.ts
+++ b/bench/experiments/store-outage.ts
@@ -1,27 +1,27 @@
-/** Payments while the store is down for 20 s. */
+/** Sends requests during a store outage of 20 s. */
 import {pause} from '../cluster.js';
 import {round} from '../measures.js';
 import {
   PAYMENTS,
-  capacityOf,
+  computeCapacity,
   createRequestCluster,
-  judgeRequests,
+  verifyRequests,
   waitForRequests,
 } from '../request-bench.js';
-import {brokenPromises, type Experiment} from './experiment.js';
+import {collectFailures, type Experiment} from './experiment.js';
 
-const LOAD = 0.5;
+const LOAD_FACTOR = 0.5;
 const OUTAGE_SECONDS = 20;
-const CALM_SECONDS = 10;
+const BASELINE_SECONDS = 10;
 const DEADLINE_MS = 3_000;
 
-/** The share answered in an outage, and store calls a request outside of one. */
+/** Reports the share answered in the outage, and store calls per request before. */
 export const storeOutage: Experiment = {
   name: 'store-outage',
-  summary: 'payments through 20 s without the store; store calls a request',
+  summary: 'requests during 20 s without the store; store calls per request',
   run: async context => {
     const cluster = await createRequestCluster(context, {services: [PAYMENTS]});
-    const rate = Math.round(capacityOf(PAYMENTS) * LOAD);
+    const rate = Math.round(computeCapacity(PAYMENTS) * LOAD_FACTOR);
     const order = (seconds: number) => ({
       workspace: PAYMENTS.workspace,
       service: PAYMENTS.service,
@@ -32,20 +32,20 @@
       duplicates: 0.05,
     });
     await pause(3_000);
-    const idle = await storeCallsOver(cluster, CALM_SECONDS);
-    const before = await storeCalls(cluster);
-    await cluster.sendRequests(order(CALM_SECONDS));
-    await pause(CALM_SECONDS * 1_000);
-    const busy = (await storeCalls(cluster)) - before;
-    await waitForRequests(cluster, rate * CALM_SECONDS);
+    const idle = await measureStoreCalls(cluster, BASELINE_SECONDS);
+    const before = await readStoreCalls(cluster);
+    await cluster.sendRequests(order(BASELINE_SECONDS));
+    await pause(BASELINE_SECONDS * 1_000);
+    const busy = (await readStoreCalls(cluster)) - before;
+    await waitForRequests(cluster, rate * BASELINE_SECONDS);
     await cluster.store.turn({down: true});
     await cluster.sendRequests(order(OUTAGE_SECONDS));
     await pause(OUTAGE_SECONDS * 1_000);
     await cluster.store.turn({down: false});
-    const expected = rate * (CALM_SECONDS + OUTAGE_SECONDS);
+    const expected = rate * (BASELINE_SECONDS + OUTAGE_SECONDS);
     const reports = await waitForRequests(cluster, expected);
     const outage = reports[reports.length - 1];
-    const verdict = await judgeRequests(cluster);
+    const verdict = await verifyRequests(cluster);
     await cluster.close();
     const answeredShare = round(outage.answered / outage.requests);
     const extra = Math.max(0, busy - idle);
@@ -54,34 +54,43 @@
         answeredShare,
         doubleRuns: verdict.doubleRuns,
         falseNotRun: verdict.falseNotRun,
-        storeCallsPerRequest: round(extra / (rate * CALM_SECONDS)),
-        storeCallsPerSecondIdle: round(idle / CALM_SECONDS),
+        storeCallsPerRequest: round(extra / (rate * BASELINE_SECONDS)),
+        storeCallsPerSecondIdle: round(idle / BASELINE_SECONDS),
         reasons: outage.reasons,
       },
-      broken: brokenPromises([
-        [verdict.doubleRuns === 0, 'payments ran twice'],
-        [verdict.falseNotRun === 0, 'false "not run"'],
-        [answeredShare > 0.9, `only ${answeredShare} were answered`],
+      failures: collectFailures([
         [
-          extra / (rate * CALM_SECONDS) < 0.05,
-          'the common path asks the store',
+          verdict.doubleRuns === 0,
+          `${verdict.doubleRuns} payments ran more than once`,
+        ],
+        [
+          verdict.falseNotRun === 0,
+          `${verdict.falseNotRun} requests reported as not run had run`,
+        ],
+        [
+          answeredShare > 0.9,
+          `answered share in the outage is ${answeredShare}`,
+        ],
+        [
+          extra / (rate * BASELINE_SECONDS) < 0.05,
+          'requests cause store calls on the normal path',
         ],
       ]),
     };
   },
 };
 
-async function storeCalls(cluster: {
+async function readStoreCalls(cluster: {
   store: {turn<T>(): Promise<T>};
 }): Promise<number> {
   return (await cluster.store.turn<{calls: number}>()).calls;
 }
 
-async function storeCallsOver(
-  cluster: Parameters<typeof storeCalls>[0],
+async function measureStoreCalls(
+  cluster: Parameters<typeof readStoreCalls>[0],
   seconds: number,
 ): Promise<number> {
-  const before = await storeCalls(cluster);
+  const before = await readStoreCalls(cluster);
   await pause(seconds * 1_000);
-  return (await storeCalls(cluster)) - before;
+  return (await readStoreCalls(cluster)) - before;
 }
--- a/bench/experiments/tables.ts
+++ b/bench/experiments/tables.ts
@@ -1,4 +1,4 @@
-/** Lookup tables: Maglev beside weighted rendezvous. */
+/** Compares Maglev lookup tables with weighted rendezvous hashing. */
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
 import {
   createMaglevTable,
@@ -7,57 +7,57 @@
   type LookupTable,
   type WeightedServer,
 } from '../../src/routing/lookup-table.js';
-import {imbalanceOf, round} from '../measures.js';
+import {computeImbalance, round} from '../measures.js';
 import type {Experiment} from './experiment.js';
 
 const SIZES = [3, 10, 100, 1_000, 32_000];
-/** Rendezvous hashes every server for every entry; above this it is left out. */
-const LARGEST_RENDEZVOUS = 1_000;
+/** Rendezvous hashing costs servers times entries; larger tables are skipped. */
+const MAX_RENDEZVOUS_SERVERS = 1_000;
 
-/** Evenness, disruption, build time and bytes by number of servers. */
+/** Reports balance, disruption, build time and size by number of servers. */
 export const tables: Experiment = {
   name: 'tables',
-  summary: 'Maglev and rendezvous tables: evenness, disruption, time, bytes',
+  summary: 'Maglev and rendezvous tables: balance, disruption, time, bytes',
   run: async context => {
     const hasher = await XxhashHasher.create();
     const cases = SIZES.flatMap(count => {
       const entries = entryCountFor(count);
-      const ways = [
+      const algorithms = [
         ['maglev', createMaglevTable] as const,
-        ...(count <= LARGEST_RENDEZVOUS
+        ...(count <= MAX_RENDEZVOUS_SERVERS
           ? [['rendezvous', createRendezvousTable] as const]
           : []),
       ];
-      return ways.map(([way, create]) => {
-        context.say(`${way} with ${count} servers`);
-        const servers = serversOf(count);
+      return algorithms.map(([algorithm, create]) => {
+        context.log(`${algorithm} with ${count} servers`);
+        const servers = createServers(count);
         const started = performance.now();
         const table = create(servers, entries, hasher);
         const buildMs = round(performance.now() - started);
         const fewer = create(servers.slice(0, -1), entries, hasher);
         return {
-          way,
+          way: algorithm,
           servers: count,
           entries,
           buildMs,
           bytes: table.byteLength,
-          ...imbalanceOf(sharesOf(table, count)),
-          movedNeedlessly: round(movedShare(table, fewer, count - 1)),
+          ...computeImbalance(countEntriesPerServer(table, count)),
+          movedNeedlessly: round(computeMovedShare(table, fewer, count - 1)),
         };
       });
     });
-    return {figures: {cases}, broken: []};
+    return {figures: {cases}, failures: []};
   },
 };
 
-function serversOf(count: number): WeightedServer[] {
+function createServers(count: number): WeightedServer[] {
   return Array.from({length: count}, (_, index) => ({
     id: `10.${index >> 8}.${index & 255}.1:80`,
     weight: 1,
   }));
 }
 
-function sharesOf(table: LookupTable, count: number): number[] {
+function countEntriesPerServer(table: LookupTable, count: number): number[] {
   const shares = new Array<number>(count).fill(0);
   table.forEach(index => {
     shares[index] += 1;
@@ -65,8 +65,8 @@
   return shares;
 }
 
-/** Share of entries that moved though their server stayed. */
-function movedShare(
+/** Computes the share of entries that moved although their server remained. */
+function computeMovedShare(
   before: LookupTable,
   after: LookupTable,
   removed: number,
--- a/bench/measures.ts
+++ b/bench/measures.ts
@@ -1,15 +1,15 @@
-/** Figures that experiments share. */
+/** Statistics used by several experiments. */
 import type {BackendReport} from './cluster.js';
 import type {CallersReport} from '../standins/flow-callers.js';
 
-/** How unevenly work lands on servers. */
+/** Unevenness of counts per server. */
 export interface Imbalance {
   readonly maxOverMean: number;
   readonly coefficientOfVariation: number;
 }
 
-/** The imbalance of counts, each divided by its server's weight. */
-export function imbalanceOf(
+/** Computes the imbalance of counts, each divided by its server's weight. */
+export function computeImbalance(
   counts: readonly number[],
   weights: readonly number[] = counts.map(() => 1),
 ): Imbalance {
@@ -26,12 +26,12 @@
   };
 }
 
-/** Rounds to four digits after the point. */
+/** Rounds to four decimal places. */
 export function round(value: number): number {
   return Math.round(value * 10_000) / 10_000;
 }
 
-/** Sums of what the callers saw. */
+/** Flow counts summed over services, as callers observed them. */
 export interface FlowTotals {
   readonly flows: number;
   readonly brokenFlows: number;
@@ -39,8 +39,8 @@
   readonly openFlows: number;
 }
 
-/** Adds the services up. */
-export function totalsOf(report: CallersReport): FlowTotals {
+/** Sums the flow states of all services. */
+export function computeFlowTotals(report: CallersReport): FlowTotals {
   const sum = (state: string) =>
     report.services.reduce(
       (total, {states}) => total + (states[state] ?? 0),
@@ -54,15 +54,15 @@
   };
 }
 
-/** Sum of one count over servers. */
-export function sumOf(
+/** Sums one count over servers. */
+export function sumReports(
   reports: readonly BackendReport[],
   count: (report: BackendReport) => number,
 ): number {
   return reports.reduce((total, report) => total + count(report), 0);
 }
 
-/** The straight line that fits points best, by least squares. */
+/** Fits a straight line to points by least squares. */
 export function fitLine(points: readonly (readonly [number, number])[]): {
   readonly slope: number;
   readonly intercept: number;
--- a/bench/packet-path.ts
+++ b/bench/packet-path.ts
@@ -1,4 +1,4 @@
-/** Processor time of one packet through a coordinator, without sockets. */
+/** Measures the processing time of a packet in a coordinator, without sockets. */
 import {XxhashHasher} from '../src/adapters/xxhash-hasher.js';
 import {decodePacket} from '../src/adapters/udp-fabric.js';
 import {Packet, PacketKind} from '../src/generated/packet.js';
@@ -8,7 +8,7 @@
 const FLOWS = 20_000;
 const ROUNDS = 60;
 const DESTINATION = {address: 0x0a280001, port: 443, service: 'a/b'};
-const NANOSECONDS = 1_000_000;
+const NANOSECONDS_PER_MS = 1_000_000;
 
 const hasher = await XxhashHasher.create();
 const ids = Array.from({length: 10}, (_, index) => `10.1.0.${index + 1}:80`);
@@ -39,8 +39,8 @@
 await fleet.clock.advance(3_000);
 fleet.backends.send = () => undefined;
 
-/** Handles packets of all flows as they come from a socket. */
-function run(kind: PacketKind, rounds: number): number {
+/** Decodes and handles one packet per flow and round; returns nanoseconds each. */
+function measurePackets(kind: PacketKind, rounds: number): number {
   const packets = Array.from({length: FLOWS}, (_, flow) =>
     Buffer.from(Packet.encode(packetOf(flow, kind, DESTINATION)).finish()),
   );
@@ -54,12 +54,12 @@
     });
   }
   const elapsed = performance.now() - startMs;
-  return Math.round((elapsed * NANOSECONDS) / (rounds * FLOWS));
+  return Math.round((elapsed * NANOSECONDS_PER_MS) / (rounds * FLOWS));
 }
 
-const open = run(PacketKind.OPEN, 1);
-run(PacketKind.DATA, 5);
-const data = run(PacketKind.DATA, ROUNDS);
+const open = measurePackets(PacketKind.OPEN, 1);
+measurePackets(PacketKind.DATA, 5);
+const data = measurePackets(PacketKind.DATA, ROUNDS);
 process.stdout.write(
   `${JSON.stringify({openNanoseconds: open, dataNanoseconds: data})}\n`,
 );
--- a/bench/plans.ts
+++ b/bench/plans.ts
@@ -1,10 +1,10 @@
-/** The two users' services at their sizes of today. */
+/** Service plans and failure domains of the demo and the experiments. */
 import type {ServicePlan} from './cluster.js';
 
-/** Parkwise: payments and documents in three halls. */
+/** Failure domains of the Parkwise workspace. */
 export const PARKWISE_DOMAINS = ['hall-a', 'hall-b', 'hall-c'] as const;
 
-/** Payments: 10 servers, each with 3 slots and 2,000 connections. */
+/** Payments, which must not run twice. */
 export const METERPAY: ServicePlan = {
   workspace: 'parkwise',
   service: 'meterpay',
@@ -16,7 +16,7 @@
   repeatable: false,
 };
 
-/** Handheld documents: 3 servers, each with 3 slots and 2,000 connections. */
+/** Documents for handheld devices, which may be requested again. */
 export const HANDHELD: ServicePlan = {
   workspace: 'parkwise',
   service: 'handheld-docs',
@@ -28,7 +28,7 @@
   repeatable: true,
 };
 
-/** Harvest Table: routes and recipes in four halls. */
+/** Failure domains of the Harvest Table workspace. */
 export const HARVEST_DOMAINS = [
   'hall-north',
   'hall-east',
@@ -36,7 +36,7 @@
   'hall-west',
 ] as const;
 
-/** Routes and reservations: 10 servers with 2 slots and 2,000 connections. */
+/** Routes and reservations, which must not run twice. */
 export const DISPATCH: ServicePlan = {
   workspace: 'harvest-table',
   service: 'dispatch-svc',
@@ -48,7 +48,7 @@
   repeatable: false,
 };
 
-/** Recipe sheets: 4 servers with 2 slots and 2,000 connections. */
+/** Recipes, which may be requested again. */
 export const LIBRARY: ServicePlan = {
   workspace: 'harvest-table',
   service: 'library-svc',
--- a/bench/process-usage.ts
+++ b/bench/process-usage.ts
@@ -1,20 +1,22 @@
-/** Processor time and memory of a process, from the proc file system. */
+/** Reads processor time and memory of a process from `/proc`. */
 import {readFileSync} from 'node:fs';
 
-const TICKS_A_SECOND = 100;
+/** Clock ticks of `/proc/PID/stat`. */
+const TICKS_PER_SECOND = 100;
+/** Positions of `utime` and `stime` after the process name. */
 const USER_TIME_FIELD = 11;
 const SYSTEM_TIME_FIELD = 12;
-const KIBIBYTE = 1_024;
+const BYTES_PER_KIBIBYTE = 1_024;
 
-/** What a process has used. */
+/** Processor time and memory of a process. */
 export interface ProcessUsage {
-  /** User and system time, in seconds. */
+  /** User and system time. */
   readonly cpuSeconds: number;
   readonly residentBytes: number;
 }
 
-/** Reads the usage of a running process. */
-export function usageOf(pid: number): ProcessUsage {
+/** Reads the usage of a running process; throws when it has ended. */
+export function readProcessUsage(pid: number): ProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const ticks =
@@ -22,7 +24,7 @@
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
   const resident = /VmRSS:\s+(\d+)/.exec(status)?.[1] ?? '0';
   return {
-    cpuSeconds: ticks / TICKS_A_SECOND,
-    residentBytes: Number(resident) * KIBIBYTE,
+    cpuSeconds: ticks / TICKS_PER_SECOND,
+    residentBytes: Number(resident) * BYTES_PER_KIBIBYTE,
   };
 }
--- a/bench/processes.ts
+++ b/bench/processes.ts
@@ -1,33 +1,33 @@
-/** Child processes of a demo or experiment, each ended by its own id. */
+/** Child processes of a demo, experiment or soak run, killed when it exits. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {closeSync, openSync} from 'node:fs';
 
-const KILL_AFTER_MS = 35_000;
+const KILL_TIMEOUT_MS = 35_000;
 
-/** A process that was started here. */
+/** A running child process. */
 export interface StartedProcess {
   readonly name: string;
   readonly child: ChildProcess;
-  /** Resolves with the exit code; null after a signal. */
+  /** Resolves with the exit code; null when a signal ended it. */
   readonly ended: Promise<number | null>;
 }
 
-/** The sets that still run something; all end when this process does. */
-const sets = new Set<Processes>();
-process.on('exit', () => sets.forEach(set => set.killAll()));
+/** Groups with running processes, to be killed when this process exits. */
+const activeGroups = new Set<Processes>();
+process.on('exit', () => activeGroups.forEach(group => group.killAll()));
 
-/** All processes of one run. */
+/** Child processes of one run, by name. */
 export class Processes {
   private readonly started = new Map<string, StartedProcess>();
 
   private constructor() {}
 
-  /** Creates an empty set; everything in it ends when this process does. */
+  /** Creates an empty group. */
   static create(): Processes {
     return new Processes();
   }
 
-  /** Starts a Node program; its output goes to a file. */
+  /** Starts a Node.js program; appends its output to the file `log`. */
   start(
     name: string,
     args: readonly string[],
@@ -45,42 +45,48 @@
     });
     const started = {name, child, ended};
     this.started.set(name, started);
-    sets.add(this);
-    void ended.then(() => this.forget(name));
+    activeGroups.add(this);
+    void ended.then(() => this.remove(name));
     return started;
   }
 
-  private forget(name: string): void {
+  private remove(name: string): void {
     this.started.delete(name);
     if (this.started.size === 0) {
-      sets.delete(this);
+      activeGroups.delete(this);
     }
   }
 
-  /** A process by name, while it runs. */
+  /** Returns a process; undefined when none of that name is running. */
   get(name: string): StartedProcess | undefined {
     return this.started.get(name);
   }
 
-  /** Sends a signal. */
+  /** Sends a signal to a process; does nothing when it is not running. */
   signal(name: string, signal: NodeJS.Signals): void {
     this.started.get(name)?.child.kill(signal);
   }
 
-  /** Asks a process to stop and waits for its end; returns its exit code. */
+  /**
+   * Sends SIGTERM, then SIGKILL after 35 s. Resolves with the exit code; null when
+   * a signal ended the process or it was not running.
+   */
   async stop(name: string): Promise<number | null> {
     const found = this.started.get(name);
     if (found === undefined) {
       return null;
     }
     found.child.kill('SIGTERM');
-    const timer = setTimeout(() => found.child.kill('SIGKILL'), KILL_AFTER_MS);
+    const timer = setTimeout(
+      () => found.child.kill('SIGKILL'),
+      KILL_TIMEOUT_MS,
+    );
     const code = await found.ended;
     clearTimeout(timer);
     return code;
   }
 
-  /** Kills everything that still runs. */
+  /** Kills all running processes, suspended ones included. */
   killAll(): void {
     this.started.forEach(({child}) => {
       child.kill('SIGCONT');
--- a/bench/programs/relay.ts
+++ b/bench/programs/relay.ts
@@ -1,4 +1,4 @@
-/** A bare UDP relay: `relay.js LISTEN TARGET,TARGET...`, in turn. */
+/** Relays UDP packets round-robin: `relay.js LISTEN TARGET,TARGET...`. */
 import {bindUdp, sendUdp} from '../../src/adapters/udp-socket.js';
 
 const [listen, list] = process.argv.slice(2);
--- a/bench/programs/sink.ts
+++ b/bench/programs/sink.ts
@@ -1,8 +1,8 @@
-/** Counts packets at several addresses: `sink.js KNOBS ADDRESS,ADDRESS...`. */
+/** Counts UDP packets at several addresses: `sink.js CONTROL ADDRESS,ADDRESS...`. */
 import {bindUdp} from '../../src/adapters/udp-socket.js';
 import {startStandinServer} from '../../standins/knobs.js';
 
-const [knobs, addresses] = process.argv.slice(2);
+const [controlAddress, addresses] = process.argv.slice(2);
 let packets = 0;
 const sockets = await Promise.all(
   addresses.split(',').map(address => bindUdp(address)),
@@ -12,4 +12,4 @@
     packets += 1;
   }),
 );
-await startStandinServer(knobs, () => ({packets}));
+await startStandinServer(controlAddress, () => ({packets}));
--- a/bench/programs/source.ts
+++ b/bench/programs/source.ts
@@ -1,7 +1,6 @@
 /**
- * Sends packets of numbered flows: `source.js KNOBS`. Knobs: `target`,
- * `destination`, `first`, `flows`, `kind`, `rate` (packets a second; 0: as many
- * as it can), `seconds`.
+ * Sends packets of numbered flows on control calls: `source.js CONTROL`. Each call
+ * is a `SendOrder` and returns the number of packets sent so far.
  */
 import {bindUdp, sendUdp} from '../../src/adapters/udp-socket.js';
 import {Packet, PacketKind} from '../../src/generated/packet.js';
@@ -9,25 +8,29 @@
 import {startStandinServer} from '../../standins/knobs.js';
 import {packetOf} from '../../standins/memory-fleet.js';
 
-const STEP_MS = 2;
-const BURST = 64;
+const SEND_INTERVAL_MS = 2;
+const BURST_PACKETS = 64;
 const SERVICE = 'bench/forwarding';
 
-interface Order {
+interface SendOrder {
+  /** "ip:port" that packets are sent to. */
   readonly target: string;
+  /** "ip:port" of the service, in the packets. */
   readonly destination: string;
+  /** Number of the first flow. */
   readonly first: number;
   readonly flows: number;
   readonly kind: PacketKind;
+  /** Packets per second; 0 sends as fast as possible. */
   readonly rate: number;
   readonly seconds: number;
 }
 
-const [knobs] = process.argv.slice(2);
-const socket = await bindUdp(`${knobs.split(':')[0]}:0`);
+const [controlAddress] = process.argv.slice(2);
+const socket = await bindUdp(`${controlAddress.split(':')[0]}:0`);
 let sent = 0;
 
-function encode(order: Order): Uint8Array[] {
+function encodePackets(order: SendOrder): Uint8Array[] {
   const socketAddress = parseSocketAddress(order.destination);
   const destination = {
     address: socketAddress?.address ?? 0,
@@ -41,37 +44,37 @@
   );
 }
 
-/** Sends in bursts, no faster than the rate, until the time is over. */
-function run(order: Order, packets: readonly Uint8Array[]): void {
+/** Sends packets at the ordered rate until its duration has passed. */
+function sendPackets(order: SendOrder, packets: readonly Uint8Array[]): void {
   const startMs = performance.now();
-  let own = 0;
-  const step = () => {
+  let sentOfOrder = 0;
+  const sendDue = () => {
     const elapsed = performance.now() - startMs;
     if (elapsed > order.seconds * 1_000) {
       return;
     }
     const due =
       order.rate === 0
-        ? BURST
-        : Math.floor((elapsed / 1_000) * order.rate) - own;
+        ? BURST_PACKETS
+        : Math.floor((elapsed / 1_000) * order.rate) - sentOfOrder;
     Array.from({length: Math.max(0, due)}).forEach(() => {
-      sendUdp(socket, order.target, packets[own % packets.length]);
-      own += 1;
+      sendUdp(socket, order.target, packets[sentOfOrder % packets.length]);
+      sentOfOrder += 1;
     });
     sent += Math.max(0, due);
     if (order.rate === 0) {
-      setImmediate(step);
+      setImmediate(sendDue);
     } else {
-      setTimeout(step, STEP_MS);
+      setTimeout(sendDue, SEND_INTERVAL_MS);
     }
   };
-  step();
+  sendDue();
 }
 
-await startStandinServer(knobs, settings => {
+await startStandinServer(controlAddress, settings => {
   if ('target' in settings) {
-    const order = settings as unknown as Order;
-    run(order, encode(order));
+    const order = settings as unknown as SendOrder;
+    sendPackets(order, encodePackets(order));
   }
   return {sent};
 });
--- a/bench/request-bench.ts
+++ b/bench/request-bench.ts
@@ -1,4 +1,4 @@
-/** What experiments on requests share. */
+/** Services, load and correctness checks shared by the experiments on requests. */
 import {RequestStatus} from '../src/generated/request.js';
 import type {RequestReport} from '../standins/request-callers.js';
 import {Cluster, pause, type ClusterOptions} from './cluster.js';
@@ -7,10 +7,10 @@
 import type {ExperimentContext} from './experiments/experiment.js';
 
 const DAEMONS = 8;
-const END_MS = 25_000;
-const POLL_MS = 250;
+const COMPLETION_TIMEOUT_MS = 25_000;
+const POLL_INTERVAL_MS = 250;
 
-/** Payments on 10 servers of 3 slots; 100 ms a request, so 300 a second. */
+/** Non-repeatable requests; 10 servers with 3 slots run 300 per second. */
 export const PAYMENTS = {
   workspace: 'parkwise',
   service: 'meterpay',
@@ -22,8 +22,8 @@
   repeatable: false,
 } as const;
 
-/** Sheets on 3 servers of 3 slots; 90 a second. */
-export const SHEETS = {
+/** Repeatable requests; 3 servers with 3 slots run 90 per second. */
+export const DOCUMENTS = {
   workspace: 'parkwise',
   service: 'handheld-docs',
   address: '10.20.0.2:443',
@@ -34,8 +34,8 @@
   repeatable: true,
 } as const;
 
-/** Requests a second that the servers of a plan run at the most. */
-export function capacityOf(plan: {
+/** Returns the requests per second that the servers of a plan can run. */
+export function computeCapacity(plan: {
   readonly servers: number;
   readonly slots: number;
   readonly serviceMs: number;
@@ -43,12 +43,12 @@
   return (plan.servers * plan.slots * 1_000) / plan.serviceMs;
 }
 
-/** Starts a cluster for requests. */
+/** Starts and registers a cluster of eight daemons. */
 export async function createRequestCluster(
   context: ExperimentContext,
   options: Partial<ClusterOptions> & Pick<ClusterOptions, 'services'>,
 ): Promise<Cluster> {
-  return context.use(
+  return context.registerCluster(
     await Cluster.create({
       daemons: DAEMONS,
       domains: PARKWISE_DOMAINS,
@@ -58,28 +58,31 @@
   );
 }
 
-/** Waits until all requests that were ordered have ended. */
+/**
+ * Waits until the expected number of requests were sent and none is pending.
+ * Returns the reports as they are after 25 s, even if requests are still pending.
+ */
 export async function waitForRequests(
   cluster: Cluster,
   expected: number,
 ): Promise<RequestReport[]> {
-  const deadline = Date.now() + END_MS;
-  let state = await cluster.requests();
+  const deadline = Date.now() + COMPLETION_TIMEOUT_MS;
+  let state = await cluster.readRequestReports();
   const sent = () =>
     state.reports.reduce((sum, {requests}) => sum + requests, 0);
   while ((state.pending > 0 || sent() < expected) && Date.now() < deadline) {
-    await pause(POLL_MS);
-    state = await cluster.requests();
+    await pause(POLL_INTERVAL_MS);
+    state = await cluster.readRequestReports();
   }
   return state.reports;
 }
 
-/** The oracle's verdict on all requests of a cluster. */
+/** Outcome counts of all requests of a cluster, and violations of correctness. */
 export interface RequestVerdict {
   readonly requests: number;
-  /** Keys of payments that ran more than once. */
+  /** Payments that ran more than once. */
   readonly doubleRuns: number;
-  /** Callers told "not run" whose request ran. */
+  /** Requests reported as "not run" that ran. */
   readonly falseNotRun: number;
   readonly wrongAnswers: number;
   readonly partialAnswers: number;
@@ -89,10 +92,14 @@
   readonly reasons: Readonly<Record<string, number>>;
 }
 
-/** Compares what servers ran with what callers were told. */
-export async function judgeRequests(cluster: Cluster): Promise<RequestVerdict> {
-  const {outcomes} = await cluster.requests(true);
-  const backends = await cluster.backendReports(undefined, {listKeys: true});
+/** Compares the requests that servers ran with the outcomes that callers got. */
+export async function verifyRequests(
+  cluster: Cluster,
+): Promise<RequestVerdict> {
+  const {outcomes} = await cluster.readRequestReports(true);
+  const backends = await cluster.readBackendReports(undefined, {
+    listKeys: true,
+  });
   const runs = new Map<string, number>();
   backends
     .flatMap(({keys}) => keys)
