--- a/standins/backend-server.ts
+++ b/standins/backend-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in of backend servers: flows, streams, requests, health. */
+/** Stand-in for backend servers: accepts flows, streams, requests and health checks. */
 import type dgram from 'node:dgram';
 import net from 'node:net';
 import type {ServerUnaryCall, sendUnaryData} from '@grpc/grpc-js';
@@ -14,60 +14,62 @@
   type RunRequest,
 } from '../src/generated/request.js';
 import {InstanceRole, InstanceState} from '../src/ports/instance-list.js';
-import {readClaim, writeClaim} from './flow-payload.js';
-import {startStandinServer, turnKnobs} from './knobs.js';
+import {decodePayload, encodePayload} from './flow-payload.js';
+import {startStandinServer, applyKnobs} from './knobs.js';
 import {Random} from '../src/routing/random.js';
 
-const COLD_FACTOR = 3;
-const HEALTH_SAMPLES = 64;
-const SAMPLE_INTERVAL_MS = 100;
-const LATE_ANSWER_MS = 2_000;
+const COLD_SLOWDOWN_FACTOR = 3;
+const HEALTH_HISTORY_LENGTH = 64;
+const HEALTH_SAMPLE_INTERVAL_MS = 100;
+const LATE_ANSWER_DELAY_MS = 2_000;
 
-/** What one server is made from. */
+/** Options of a backend server. */
 export interface BackendStandinOptions {
-  /** "ip:port": packets (UDP) and requests (TCP); streams at the next port. */
+  /** "ip:port" of packets (UDP) and requests (TCP); TCP streams use the next port. */
   readonly address: string;
   /** "ip:port" of the instance list. */
   readonly list: string;
   readonly failureDomain: string;
   /** "workspace/service" names that the server serves. */
   readonly services: readonly string[];
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
+  /** Maximum number of open flows. */
   readonly connections: number;
-  /** Mean time that a request takes, in milliseconds. */
+  /** Mean processing time of a request, in milliseconds. */
   readonly serviceMs: number;
   readonly seed: number;
 }
 
-/** The text with which a server answers a request's key. */
-export function answerTo(key: string): string {
+/** Returns the body with which a server answers the request with a key. */
+export function createAnswer(key: string): string {
   return `answer to ${key} `.repeat(8);
 }
 
-/** One backend server with faults to order. */
+/** A backend server whose faults are set through its control service. */
 export class BackendStandin {
   private readonly random: Random;
   private readonly flows = new Set<string>();
-  private readonly runs = new Map<string, number>();
+  private readonly runCounts = new Map<string, number>();
   private readonly streams = new Set<net.Socket>();
   private readonly startedMs = Date.now();
-  private busy = 0;
-  private health: HealthReply[] = [];
+  private busySlots = 0;
+  private healthHistory: HealthReply[] = [];
   private drainedAtMs = 0;
   private readonly knobs = {
     draining: false,
-    /** Refuses every request. */
+    /** Whether it rejects every request. */
     shedding: false,
-    /** Time for which a started server is slow, in milliseconds. */
+    /** Warm-up time during which requests take longer, in milliseconds. */
     coldMs: 0,
     slowFactor: 1,
-    /** Shares of answers. */
+    /** Fractions of answers. */
     lateAnswers: 0,
     lostAnswers: 0,
     truncatedAnswers: 0,
-    /** Age of the health and load that the server reports, in milliseconds. */
+    /** Age of the reported health and load, in milliseconds. */
     healthLagMs: 0,
-    /** Factor by which the reported load is wrong. */
+    /** Factor on the reported load. */
     misleading: 1,
   };
   private readonly counts = {
@@ -93,40 +95,40 @@
     this.random = Random.create(options.seed);
   }
 
-  /** Starts a server and announces it. */
+  /** Starts a server and announces it to the instance list. */
   static async create(options: BackendStandinOptions): Promise<BackendStandin> {
     const socket = await bindUdp(options.address);
     const list = GrpcInstanceList.create(options.list, SystemClock.create());
     const server = new BackendStandin(options, socket, list);
     await startStandinServer(
       options.address,
-      settings => server.turn(settings),
+      settings => server.applySettings(settings),
       [{definition: BackendService, implementation: {...server.service()}}],
     );
     socket.on('message', bytes => server.receive(bytes));
     await server.acceptStreams();
     await server.announce(InstanceState.LIVE);
-    setInterval(() => server.sampleHealth(), SAMPLE_INTERVAL_MS);
+    setInterval(() => server.sampleHealth(), HEALTH_SAMPLE_INTERVAL_MS);
     return server;
   }
 
-  private turn(settings: Record<string, unknown>): unknown {
+  private applySettings(settings: Record<string, unknown>): unknown {
     const wasDraining = this.knobs.draining;
-    turnKnobs(this.knobs, settings);
+    applyKnobs(this.knobs, settings);
     if (this.knobs.draining !== wasDraining) {
       this.drainedAtMs = Date.now();
       const {LEAVING, LIVE} = InstanceState;
       void this.announce(this.knobs.draining ? LEAVING : LIVE);
     }
-    const doubleRuns = [...this.runs.values()].filter(count => count > 1);
+    const doubleRuns = [...this.runCounts.values()].filter(count => count > 1);
     return {
       ...this.counts,
       server: this.options.address,
       flows: this.flows.size,
       streams: this.streams.size,
-      busy: this.busy,
+      busy: this.busySlots,
       doubleRuns: doubleRuns.length,
-      keys: settings['listKeys'] === true ? [...this.runs] : [],
+      keys: settings['listKeys'] === true ? [...this.runCounts] : [],
     };
   }
 
@@ -146,18 +148,18 @@
 
   private receive(bytes: Buffer): void {
     const packet = Packet.decode(bytes);
-    if (!this.options.services.includes(readClaim(packet.payload))) {
+    if (!this.options.services.includes(decodePayload(packet.payload))) {
       this.counts.misrouted += 1;
     }
     const flow = `${packet.sourceAddress}:${packet.sourcePort}>${packet.destinationAddress}:${packet.destinationPort}`;
-    const kind = this.takePacket(flow, packet.kind);
-    const payload = writeClaim({server: this.options.address});
+    const kind = this.handlePacket(flow, packet.kind);
+    const payload = encodePayload({server: this.options.address});
     const reply = Packet.encode({...packet, kind, payload}).finish();
     sendUdp(this.socket, packet.returnAddress, reply);
   }
 
-  /** Takes a packet of a flow; returns the kind of the answer. */
-  private takePacket(flow: string, kind: PacketKind): PacketKind {
+  /** Handles a packet of a flow and returns the kind of the reply. */
+  private handlePacket(flow: string, kind: PacketKind): PacketKind {
     const known = this.flows.has(flow);
     if (kind === PacketKind.OPEN && !known) {
       return this.openFlow(flow);
@@ -191,7 +193,7 @@
     return PacketKind.OPEN;
   }
 
-  /** Streams are answered with what they send, after a first line. */
+  /** Listens for TCP streams; answers HTTP GET requests and echoes other streams. */
   private acceptStreams(): Promise<void> {
     const [host, port] = this.options.address.split(':');
     const server = net.createServer({allowHalfOpen: true}, socket => {
@@ -231,7 +233,7 @@
     callback: sendUnaryData<RunReply>,
   ): void {
     const {key, attempt, startByMs} = call.request;
-    const refusal = this.refuse(startByMs);
+    const refusal = this.findRefusal(startByMs);
     if (refusal !== undefined) {
       callback(null, {
         started: false,
@@ -240,18 +242,18 @@
         attempt,
         key,
         bodyLength: 0,
-        busySlots: this.busy,
+        busySlots: this.busySlots,
       });
       return;
     }
-    this.busy += 1;
+    this.busySlots += 1;
     this.counts.started += 1;
-    this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
+    this.runCounts.set(key, (this.runCounts.get(key) ?? 0) + 1);
     let ended = false;
     const finish = () => {
       if (!ended) {
         ended = true;
-        this.busy -= 1;
+        this.busySlots -= 1;
       }
     };
     call.on('cancelled', () => {
@@ -266,10 +268,10 @@
       if (!wasEnded) {
         this.answer(call.request, callback);
       }
-    }, this.serviceTime());
+    }, this.drawServiceTime());
   }
 
-  private refuse(startByMs: number): string | undefined {
+  private findRefusal(startByMs: number): string | undefined {
     if (this.knobs.draining) {
       return 'draining';
     }
@@ -277,16 +279,16 @@
       this.counts.late += 1;
       return 'late';
     }
-    if (this.knobs.shedding || this.busy >= this.options.slots) {
+    if (this.knobs.shedding || this.busySlots >= this.options.slots) {
       this.counts.shed += 1;
       return 'shed';
     }
     return undefined;
   }
 
-  private serviceTime(): number {
+  private drawServiceTime(): number {
     const cold = Date.now() - this.startedMs < this.knobs.coldMs;
-    const factor = this.knobs.slowFactor * (cold ? COLD_FACTOR : 1);
+    const factor = this.knobs.slowFactor * (cold ? COLD_SLOWDOWN_FACTOR : 1);
     const {serviceMs} = this.options;
     return (serviceMs / 2 + this.random.exponential(serviceMs / 2)) * factor;
   }
@@ -295,7 +297,7 @@
     if (this.random.happens(this.knobs.lostAnswers)) {
       return;
     }
-    const whole = Buffer.from(answerTo(request.key));
+    const whole = Buffer.from(createAnswer(request.key));
     const truncated = this.random.happens(this.knobs.truncatedAnswers);
     const reply: RunReply = {
       started: true,
@@ -304,10 +306,10 @@
       attempt: request.attempt,
       key: request.key,
       bodyLength: whole.length,
-      busySlots: this.busy,
+      busySlots: this.busySlots,
     };
     const late = this.random.happens(this.knobs.lateAnswers);
-    setTimeout(() => callback(null, reply), late ? LATE_ANSWER_MS : 0);
+    setTimeout(() => callback(null, reply), late ? LATE_ANSWER_DELAY_MS : 0);
   }
 
   private sampleHealth(): void {
@@ -315,17 +317,19 @@
       healthy: true,
       draining: this.knobs.draining,
       connections: Math.round(this.flows.size * this.knobs.misleading),
-      busySlots: Math.round(this.busy * this.knobs.misleading),
+      busySlots: Math.round(this.busySlots * this.knobs.misleading),
       cold: Date.now() - this.startedMs < this.knobs.coldMs,
     };
-    this.health = [...this.health, now].slice(-HEALTH_SAMPLES);
+    this.healthHistory = [...this.healthHistory, now].slice(
+      -HEALTH_HISTORY_LENGTH,
+    );
   }
 
   private reportedHealth(): HealthReply {
-    const back = Math.floor(this.knobs.healthLagMs / SAMPLE_INTERVAL_MS);
-    const position = Math.max(0, this.health.length - 1 - back);
+    const back = Math.floor(this.knobs.healthLagMs / HEALTH_SAMPLE_INTERVAL_MS);
+    const position = Math.max(0, this.healthHistory.length - 1 - back);
     return (
-      this.health[position] ?? {
+      this.healthHistory[position] ?? {
         healthy: true,
         draining: false,
         connections: 0,
--- a/standins/fabric.ts
+++ b/standins/fabric.ts
@@ -1,29 +1,29 @@
-/** Stand-in of the fabric: sprays each packet to any live daemon. */
+/** Stand-in for the fabric: forwards each packet to a random live daemon. */
 import type dgram from 'node:dgram';
 import {GrpcInstanceList} from '../src/adapters/grpc-instance-list.js';
 import {SystemClock} from '../src/adapters/system-clock.js';
 import {bindUdp, sendUdp} from '../src/adapters/udp-socket.js';
-import {startStandinServer, turnKnobs} from './knobs.js';
+import {startStandinServer, applyKnobs} from './knobs.js';
 import {Random} from '../src/routing/random.js';
 
-const POLL_MS = 200;
-const LONGEST_REORDER_MS = 20;
+const LIST_POLL_INTERVAL_MS = 200;
+const MAXIMUM_REORDER_DELAY_MS = 20;
 
-/** What the fabric is made from. */
+/** Options of the fabric. */
 export interface FabricStandinOptions {
-  /** "ip:port" for callers' packets (UDP) and knobs (TCP). */
+  /** "ip:port" of callers' packets (UDP) and of the control service (TCP). */
   readonly address: string;
   /** "ip:port" of the instance list. */
   readonly list: string;
   readonly seed: number;
 }
 
-/** Sprays packets over the daemons that the instance list shows as live. */
+/** Forwards packets to random daemons that the instance list shows as live. */
 export class FabricStandin {
   private readonly random: Random;
   private daemons: string[] = [];
   private readonly knobs = {
-    /** Shares of packets. */
+    /** Fractions of packets. */
     drop: 0,
     duplicate: 0,
     reorder: 0,
@@ -45,20 +45,20 @@
     const list = GrpcInstanceList.create(options.list, clock);
     const fabric = new FabricStandin(socket, list, options.seed);
     await startStandinServer(options.address, settings =>
-      fabric.turn(settings),
+      fabric.applySettings(settings),
     );
-    socket.on('message', bytes => fabric.spray(bytes));
-    void fabric.follow();
+    socket.on('message', bytes => fabric.forwardPacket(bytes));
+    void fabric.pollInstances();
     return fabric;
   }
 
-  private turn(settings: Record<string, unknown>): unknown {
-    turnKnobs(this.knobs, settings);
+  private applySettings(settings: Record<string, unknown>): unknown {
+    applyKnobs(this.knobs, settings);
     return {...this.counts, daemons: this.daemons};
   }
 
-  /** Reads the list again and again. */
-  private async follow(): Promise<void> {
+  /** Reads the live daemons from the instance list, and schedules the next read. */
+  private async pollInstances(): Promise<void> {
     const listing = await this.list.list();
     listing.map(({instances}) => {
       this.daemons = instances
@@ -66,10 +66,10 @@
         .map(({fabricAddress}) => fabricAddress);
       return instances;
     });
-    setTimeout(() => void this.follow(), POLL_MS);
+    setTimeout(() => void this.pollInstances(), LIST_POLL_INTERVAL_MS);
   }
 
-  private spray(bytes: Buffer): void {
+  private forwardPacket(bytes: Buffer): void {
     this.counts.packets += 1;
     if (this.random.happens(this.knobs.drop)) {
       this.counts.dropped += 1;
@@ -79,7 +79,7 @@
       this.deliver(bytes);
     }
     if (this.random.happens(this.knobs.reorder)) {
-      const delay = this.random.below(LONGEST_REORDER_MS);
+      const delay = this.random.below(MAXIMUM_REORDER_DELAY_MS);
       setTimeout(() => this.deliver(bytes), delay);
     } else {
       this.deliver(bytes);
--- a/standins/flow-callers.ts
+++ b/standins/flow-callers.ts
@@ -1,36 +1,35 @@
-/** Stand-in of callers that hold flows open for long. */
+/** Stand-in for callers with long-lived flows. */
 import type dgram from 'node:dgram';
 import {build, type Histogram} from 'hdr-histogram-js';
 import {bindUdp, sendUdp} from '../src/adapters/udp-socket.js';
 import {Packet, PacketKind} from '../src/generated/packet.js';
 import {parseSocketAddress} from '../src/routing/ipv4.js';
-import {readClaim, writeClaim} from './flow-payload.js';
+import {decodePayload, encodePayload} from './flow-payload.js';
 import {startStandinServer} from './knobs.js';
 import {Random} from '../src/routing/random.js';
 
-const STEP_MS = 20;
-/** Time between two packets of an open flow, unless ordered otherwise. */
+const TICK_MS = 20;
+/** Default interval between two packets of an open flow. */
 const DATA_INTERVAL_MS = 1_000;
-const OPEN_RETRY_MS = 250;
-/** An open without an answer is given up after this time. */
-const OPEN_GIVE_UP_MS = 10_000;
-/** Without an answer for this long a flow is broken. */
-const SILENCE_MS = 8_000;
+const RETRANSMIT_INTERVAL_MS = 250;
+const OPEN_TIMEOUT_MS = 10_000;
+/** Time without an answer after which an open flow counts as broken. */
+const RESPONSE_TIMEOUT_MS = 8_000;
 const LATENCY_DIGITS = 3;
-const FIRST_SOURCE = 0x0a000000;
-const PORTS_A_SOURCE = 60_000;
+const FIRST_SOURCE_ADDRESS = 0x0a000000;
+const PORTS_PER_SOURCE = 60_000;
 const FIRST_PORT = 1_024;
-const MICROSECONDS = 1_000;
-const EXAMPLES = 5;
+const MICROSECONDS_PER_MS = 1_000;
+const MAXIMUM_EXAMPLES = 5;
 
-/** How a flow stands. */
+/** State of a flow. */
 export const FlowState = {
   OPENING: 'opening',
   OPEN: 'open',
   CLOSING: 'closing',
   CLOSED: 'closed',
   BROKEN: 'broken',
-  /** Never answered: no server took it. */
+  /** Reset or not answered while opening. */
   REFUSED: 'refused',
 } as const;
 /** One of the states in `FlowState`. */
@@ -44,40 +43,41 @@
   state: FlowState;
   server: string;
   sequence: number;
-  openedMs: number;
-  dueMs: number;
-  sentMs: number;
-  answeredMs: number;
-  brokenMs: number;
+  openedAtMs: number;
+  nextSendMs: number;
+  sentAtMs: number;
+  answeredAtMs: number;
+  brokenAtMs: number;
 }
 
-/** An order to open flows, as the knobs take it. */
+/** Command of the control service to open flows. */
 export interface OpenOrder {
   readonly service: string;
   /** "ip:port" of the service. */
   readonly address: string;
   readonly count: number;
-  /** Flows opened a second. */
+  /** Flows opened per second. */
   readonly rate: number;
 }
 
-/** What the callers report of one service. */
+/** Report on the flows of one service. */
 export interface FlowReport {
   readonly service: string;
   readonly flows: number;
   readonly states: Readonly<Record<string, number>>;
-  /** Broken flows that had been open for over a second. */
+  /** Flows that broke more than a second after they opened. */
   readonly brokenAfterSecond: number;
+  /** Answers that came from another server than the flow's. */
   readonly moved: number;
-  /** The first few broken flows, for people. */
+  /** Descriptions of the first broken flows. */
   readonly brokenExamples: readonly string[];
   /** Open flows by server. */
   readonly servers: Readonly<Record<string, number>>;
-  /** Age of the oldest unanswered packet, in milliseconds. */
+  /** Longest time that an open flow is overdue for an answer, in milliseconds. */
   readonly longestSilenceMs: number;
 }
 
-/** What the callers report. */
+/** Report of the callers. */
 export interface CallersReport {
   readonly services: readonly FlowReport[];
   readonly sent: number;
@@ -87,7 +87,7 @@
   readonly p99Ms: number;
 }
 
-/** Callers with one socket for all their flows. */
+/** Callers that share one socket for all flows. */
 export class FlowCallers {
   private readonly flows = new Map<string, Flow>();
   private readonly histogram: Histogram = build({
@@ -100,7 +100,11 @@
   private sent = 0;
   private answered = 0;
   private resets = 0;
-  private orders: {order: OpenOrder; left: number; startMs: number}[] = [];
+  private pendingCommands: {
+    command: OpenOrder;
+    left: number;
+    startMs: number;
+  }[] = [];
 
   private constructor(
     private readonly socket: dgram.Socket,
@@ -111,7 +115,7 @@
     this.random = Random.create(seed);
   }
 
-  /** Starts the callers; knobs and packets share the address "ip:port". */
+  /** Starts the callers; packets and the control service share the address "ip:port". */
   static async create(
     address: string,
     fabric: string,
@@ -119,16 +123,22 @@
   ): Promise<FlowCallers> {
     const socket = await bindUdp(address);
     const callers = new FlowCallers(socket, fabric, address, seed);
-    await startStandinServer(address, settings => callers.turn(settings));
+    await startStandinServer(address, settings =>
+      callers.applySettings(settings),
+    );
     socket.on('message', bytes => callers.receive(bytes));
-    setInterval(() => callers.step(), STEP_MS);
+    setInterval(() => callers.tick(), TICK_MS);
     return callers;
   }
 
-  private turn(settings: Record<string, unknown>): CallersReport {
+  private applySettings(settings: Record<string, unknown>): CallersReport {
     const open = settings['open'] as OpenOrder | undefined;
     if (open !== undefined) {
-      this.orders.push({order: open, left: open.count, startMs: Date.now()});
+      this.pendingCommands.push({
+        command: open,
+        left: open.count,
+        startMs: Date.now(),
+      });
     }
     const close = settings['close'] as
       {service: string; share: number} | undefined;
@@ -136,99 +146,102 @@
       this.closeShare(close.service, close.share);
     }
     this.intervalMs = Number(settings['intervalMs'] ?? this.intervalMs);
-    return this.report();
+    return this.createReport();
   }
 
-  private step(): void {
+  private tick(): void {
     const now = Date.now();
-    this.orders.forEach(pending => this.openDue(pending, now));
-    this.orders = this.orders.filter(({left}) => left > 0);
-    this.flows.forEach(flow => this.tend(flow, now));
+    this.pendingCommands.forEach(pending => this.openDueFlows(pending, now));
+    this.pendingCommands = this.pendingCommands.filter(({left}) => left > 0);
+    this.flows.forEach(flow => this.processFlow(flow, now));
   }
 
-  private openDue(
-    pending: {order: OpenOrder; left: number; startMs: number},
+  private openDueFlows(
+    pending: {command: OpenOrder; left: number; startMs: number},
     now: number,
   ): void {
-    const {order, startMs} = pending;
-    const due = Math.ceil(((now - startMs) / 1_000) * order.rate);
-    const wanted = Math.min(order.count, due) - (order.count - pending.left);
+    const {command, startMs} = pending;
+    const due = Math.ceil(((now - startMs) / 1_000) * command.rate);
+    const wanted =
+      Math.min(command.count, due) - (command.count - pending.left);
     Array.from({length: Math.max(0, wanted)}).forEach(() => {
       pending.left -= 1;
-      this.open(order, now);
+      this.openFlow(command, now);
     });
   }
 
-  private open(order: OpenOrder, now: number): void {
-    const destination = parseSocketAddress(order.address);
+  private openFlow(command: OpenOrder, now: number): void {
+    const destination = parseSocketAddress(command.address);
     const number = this.nextFlow;
     this.nextFlow += 1;
     const flow: Flow = {
       number,
-      service: order.service,
+      service: command.service,
       packet: {
-        sourceAddress: FIRST_SOURCE + Math.floor(number / PORTS_A_SOURCE),
-        sourcePort: FIRST_PORT + (number % PORTS_A_SOURCE),
+        sourceAddress:
+          FIRST_SOURCE_ADDRESS + Math.floor(number / PORTS_PER_SOURCE),
+        sourcePort: FIRST_PORT + (number % PORTS_PER_SOURCE),
         destinationAddress: destination?.address ?? 0,
         destinationPort: destination?.port ?? 0,
         kind: PacketKind.OPEN,
         sequence: 0,
-        payload: writeClaim({service: order.service}),
+        payload: encodePayload({service: command.service}),
         returnAddress: this.address,
       },
       state: FlowState.OPENING,
       server: '',
       sequence: 0,
-      openedMs: now,
-      dueMs: now,
-      sentMs: now,
-      answeredMs: now,
-      brokenMs: 0,
+      openedAtMs: now,
+      nextSendMs: now,
+      sentAtMs: now,
+      answeredAtMs: now,
+      brokenAtMs: 0,
     };
-    this.flows.set(keyOf(flow.packet), flow);
-    this.tend(flow, now);
+    this.flows.set(flowKey(flow.packet), flow);
+    this.processFlow(flow, now);
   }
 
-  /** Sends what is due and notes what took too long. */
-  private tend(flow: Flow, now: number): void {
-    if (flow.dueMs > now) {
+  /** Sends a packet if one is due, and ends a flow that has timed out. */
+  private processFlow(flow: Flow, now: number): void {
+    if (flow.nextSendMs > now) {
       return;
     }
     if (flow.state === FlowState.OPENING) {
-      this.tendOpening(flow, now);
+      this.processOpening(flow, now);
     } else if (flow.state === FlowState.OPEN) {
-      this.tendOpen(flow, now);
+      this.processOpen(flow, now);
     } else if (flow.state === FlowState.CLOSING) {
       this.send(flow, PacketKind.CLOSE, now);
-      flow.dueMs = now + OPEN_RETRY_MS;
+      flow.nextSendMs = now + RETRANSMIT_INTERVAL_MS;
     } else {
-      flow.dueMs = Infinity;
+      flow.nextSendMs = Infinity;
     }
   }
 
-  private tendOpening(flow: Flow, now: number): void {
-    if (now - flow.openedMs > OPEN_GIVE_UP_MS) {
+  private processOpening(flow: Flow, now: number): void {
+    if (now - flow.openedAtMs > OPEN_TIMEOUT_MS) {
       flow.state = FlowState.REFUSED;
       return;
     }
     this.send(flow, PacketKind.OPEN, now);
-    flow.dueMs = now + OPEN_RETRY_MS;
+    flow.nextSendMs = now + RETRANSMIT_INTERVAL_MS;
   }
 
-  private tendOpen(flow: Flow, now: number): void {
-    if (now - flow.answeredMs > SILENCE_MS) {
-      this.breakFlow(flow, now);
+  private processOpen(flow: Flow, now: number): void {
+    if (now - flow.answeredAtMs > RESPONSE_TIMEOUT_MS) {
+      this.markBroken(flow, now);
       return;
     }
     this.send(flow, PacketKind.DATA, now);
     const jitter = 0.5 + this.random.next();
-    const unanswered = flow.sentMs > flow.answeredMs + this.intervalMs;
-    flow.dueMs = now + (unanswered ? OPEN_RETRY_MS : this.intervalMs * jitter);
+    const unanswered = flow.sentAtMs > flow.answeredAtMs + this.intervalMs;
+    flow.nextSendMs =
+      now + (unanswered ? RETRANSMIT_INTERVAL_MS : this.intervalMs * jitter);
   }
 
   private send(flow: Flow, kind: PacketKind, now: number): void {
     flow.sequence += 1;
-    flow.sentMs = now;
+    flow.sentAtMs = now;
     this.sent += 1;
     const {sequence} = flow;
     const bytes = Packet.encode({...flow.packet, kind, sequence}).finish();
@@ -237,42 +250,42 @@
 
   private receive(bytes: Buffer): void {
     const packet = Packet.decode(bytes);
-    const flow = this.flows.get(keyOf(packet));
+    const flow = this.flows.get(flowKey(packet));
     if (flow === undefined) {
       return;
     }
     this.answered += 1;
     const now = Date.now();
     if (packet.sequence === flow.sequence) {
-      this.histogram.recordValue((now - flow.sentMs) * MICROSECONDS);
+      this.histogram.recordValue((now - flow.sentAtMs) * MICROSECONDS_PER_MS);
     }
     if (packet.kind === PacketKind.RESET) {
       this.resets += 1;
-      this.takeReset(flow, now);
+      this.handleReset(flow, now);
       return;
     }
-    flow.answeredMs = now;
-    this.takeAnswer(flow, packet, now);
+    flow.answeredAtMs = now;
+    this.handleAnswer(flow, packet, now);
   }
 
-  private takeReset(flow: Flow, now: number): void {
+  private handleReset(flow: Flow, now: number): void {
     if (flow.state === FlowState.OPEN) {
-      this.breakFlow(flow, now);
+      this.markBroken(flow, now);
     } else if (flow.state === FlowState.OPENING) {
       flow.state = FlowState.REFUSED;
     }
   }
 
-  private takeAnswer(flow: Flow, packet: Packet, now: number): void {
-    const server = readClaim(packet.payload);
+  private handleAnswer(flow: Flow, packet: Packet, now: number): void {
+    const server = decodePayload(packet.payload);
     if (flow.server !== '' && flow.server !== server) {
       this.moved.set(flow.service, (this.moved.get(flow.service) ?? 0) + 1);
     }
     if (flow.state === FlowState.OPENING) {
       flow.state = FlowState.OPEN;
-      flow.openedMs = now;
+      flow.openedAtMs = now;
       flow.server = server;
-      flow.dueMs = now + this.intervalMs * this.random.next();
+      flow.nextSendMs = now + this.intervalMs * this.random.next();
     } else if (
       flow.state === FlowState.CLOSING &&
       packet.kind === PacketKind.CLOSE
@@ -281,9 +294,9 @@
     }
   }
 
-  private breakFlow(flow: Flow, now: number): void {
+  private markBroken(flow: Flow, now: number): void {
     flow.state = FlowState.BROKEN;
-    flow.brokenMs = now;
+    flow.brokenAtMs = now;
   }
 
   private closeShare(service: string, share: number): void {
@@ -292,25 +305,25 @@
       .filter(() => this.random.happens(share))
       .forEach(flow => {
         flow.state = FlowState.CLOSING;
-        flow.dueMs = 0;
+        flow.nextSendMs = 0;
       });
   }
 
-  private report(): CallersReport {
+  private createReport(): CallersReport {
     const services = new Set(
       [...this.flows.values()].map(flow => flow.service),
     );
     return {
-      services: [...services].map(service => this.reportService(service)),
+      services: [...services].map(service => this.createServiceReport(service)),
       sent: this.sent,
       answered: this.answered,
       resets: this.resets,
-      p50Ms: this.histogram.getValueAtPercentile(50) / MICROSECONDS,
-      p99Ms: this.histogram.getValueAtPercentile(99) / MICROSECONDS,
+      p50Ms: this.histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
+      p99Ms: this.histogram.getValueAtPercentile(99) / MICROSECONDS_PER_MS,
     };
   }
 
-  private reportService(service: string): FlowReport {
+  private createServiceReport(service: string): FlowReport {
     const now = Date.now();
     const flows = [...this.flows.values()].filter(
       flow => flow.service === service,
@@ -321,35 +334,40 @@
       flows: flows.length,
       states: countBy(flows, ({state}) => state),
       brokenAfterSecond: flows.filter(
-        ({state, openedMs, brokenMs}) =>
+        ({state, openedAtMs: openedMs, brokenAtMs: brokenMs}) =>
           state === FlowState.BROKEN && brokenMs - openedMs > 1_000,
       ).length,
       moved: this.moved.get(service) ?? 0,
       brokenExamples: flows
         .filter(({state}) => state === FlowState.BROKEN)
-        .slice(0, EXAMPLES)
+        .slice(0, MAXIMUM_EXAMPLES)
         .map(
           flow =>
             `flow ${flow.packet.sourcePort} of ${flow.server}, open for ` +
-            `${flow.brokenMs - flow.openedMs} ms, silent for ` +
-            `${flow.brokenMs - flow.answeredMs} ms`,
+            `${flow.brokenAtMs - flow.openedAtMs} ms, silent for ` +
+            `${flow.brokenAtMs - flow.answeredAtMs} ms`,
         ),
       servers: countBy(open, ({server}) => server),
       longestSilenceMs: Math.max(
         0,
         ...open
-          .filter(({sentMs, answeredMs}) => sentMs > answeredMs)
-          .map(({answeredMs}) => now - answeredMs - this.intervalMs),
+          .filter(
+            ({sentAtMs: sentMs, answeredAtMs: answeredMs}) =>
+              sentMs > answeredMs,
+          )
+          .map(
+            ({answeredAtMs: answeredMs}) => now - answeredMs - this.intervalMs,
+          ),
       ),
     };
   }
 }
 
-function keyOf(packet: Packet): string {
+function flowKey(packet: Packet): string {
   return `${packet.sourceAddress}:${packet.sourcePort}>${packet.destinationAddress}:${packet.destinationPort}`;
 }
 
-/** Counts items by a name. */
+/** Counts items by the key that `name` returns. */
 export function countBy<T>(
   items: readonly T[],
   name: (item: T) => string,
--- a/standins/flow-payload.ts
+++ b/standins/flow-payload.ts
@@ -1,23 +1,23 @@
-/** What callers write into packets and backend servers answer. */
+/** Payload of packets between the stand-ins of callers and backend servers. */
 
-/** What a caller says of its flow. */
-export interface FlowClaim {
-  /** "workspace/service" that the caller means. */
+/** Payload of a caller's packet. */
+export interface CallerPayload {
+  /** "workspace/service" that the caller addresses. */
   readonly service: string;
 }
 
-/** What a server says of itself. */
-export interface ServerClaim {
-  /** The server's id. */
+/** Payload of a server's packet. */
+export interface ServerPayload {
+  /** Id of the server. */
   readonly server: string;
 }
 
-/** Writes a claim. */
-export function writeClaim(claim: FlowClaim | ServerClaim): Buffer {
-  return Buffer.from('service' in claim ? claim.service : claim.server);
+/** Encodes a payload as UTF-8. */
+export function encodePayload(payload: CallerPayload | ServerPayload): Buffer {
+  return Buffer.from('service' in payload ? payload.service : payload.server);
 }
 
-/** Reads a claim as plain text. */
-export function readClaim(payload: Uint8Array): string {
+/** Decodes a payload to the service or server that it names. */
+export function decodePayload(payload: Uint8Array): string {
   return Buffer.from(payload).toString();
 }
--- a/standins/instance-list.ts
+++ b/standins/instance-list.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's instance list, which lags behind reality. */
+/** Stand-in for the platform's instance list, as a gRPC server with stale reads. */
 import net from 'node:net';
 import {status} from '@grpc/grpc-js';
 import {
@@ -7,20 +7,20 @@
   type InstancesServer,
   type ListReply,
 } from '../src/generated/platform.js';
-import {startStandinServer, turnKnobs} from './knobs.js';
+import {startStandinServer, applyKnobs} from './knobs.js';
 
-const CHECK_INTERVAL_MS = 500;
-const CHECK_TIMEOUT_MS = 300;
-/** Failed checks in a row after which a daemon is listed as gone. */
+const HEALTH_CHECK_INTERVAL_MS = 500;
+const HEALTH_CHECK_TIMEOUT_MS = 300;
+/** Consecutive failed health checks after which a daemon is listed as gone. */
 const FAILURES_BEFORE_GONE = 3;
-const HISTORY_MS = 60_000;
+const HISTORY_RETENTION_MS = 60_000;
 
 interface TimedEntry {
   readonly atMs: number;
   readonly instance: Instance;
 }
 
-/** The list in memory; readers see it as it was a while ago. */
+/** Instance list in memory; readers get its state as of `lagMs` ago. */
 export class InstanceListStandin {
   private history: TimedEntry[] = [];
   private readonly newest = new Map<string, Instance>();
@@ -28,9 +28,9 @@
   private version = 0;
   private reads = 0;
   private readonly knobs = {
-    /** Age of what readers see, in milliseconds. */
+    /** Age of the state that readers get, in milliseconds. */
     lagMs: 300,
-    /** Refuses every call. */
+    /** Whether every call fails. */
     down: false,
   };
 
@@ -39,15 +39,17 @@
   /** Starts the list at "ip:port". */
   static async create(address: string): Promise<InstanceListStandin> {
     const list = new InstanceListStandin();
-    await startStandinServer(address, settings => list.turn(settings), [
-      {definition: InstancesService, implementation: {...list.service()}},
-    ]);
-    setInterval(() => void list.checkDaemons(), CHECK_INTERVAL_MS);
+    await startStandinServer(
+      address,
+      settings => list.applySettings(settings),
+      [{definition: InstancesService, implementation: {...list.service()}}],
+    );
+    setInterval(() => void list.checkDaemons(), HEALTH_CHECK_INTERVAL_MS);
     return list;
   }
 
-  private turn(settings: Record<string, unknown>): unknown {
-    turnKnobs(this.knobs, settings);
+  private applySettings(settings: Record<string, unknown>): unknown {
+    applyKnobs(this.knobs, settings);
     return {reads: this.reads, instances: [...this.newest.values()]};
   }
 
@@ -56,17 +58,23 @@
       list: (_call, callback) => {
         this.reads += 1;
         if (this.knobs.down) {
-          callback({code: status.UNAVAILABLE, details: 'the list is down'});
+          callback({
+            code: status.UNAVAILABLE,
+            details: 'instance list is down',
+          });
         } else {
-          callback(null, this.seen());
+          callback(null, this.listVisible());
         }
       },
       announce: (call, callback) => {
         if (this.knobs.down) {
-          callback({code: status.UNAVAILABLE, details: 'the list is down'});
+          callback({
+            code: status.UNAVAILABLE,
+            details: 'instance list is down',
+          });
         } else {
           this.put(call.request);
-          callback(null, this.seen());
+          callback(null, this.listVisible());
         }
       },
     };
@@ -79,19 +87,20 @@
     this.failures.delete(instance.id);
     const atMs = Date.now();
     this.history.push({atMs, instance: entry});
-    this.trim(atMs);
+    this.trimHistory(atMs);
   }
 
-  /** Old entries go, but for the last one of each instance. */
-  private trim(nowMs: number): void {
+  /** Drops expired entries except the latest one of each instance. */
+  private trimHistory(nowMs: number): void {
     this.history = this.history.filter(
       ({atMs, instance}) =>
-        atMs > nowMs - HISTORY_MS || this.newest.get(instance.id) === instance,
+        atMs > nowMs - HISTORY_RETENTION_MS ||
+        this.newest.get(instance.id) === instance,
     );
   }
 
-  /** The list as it was `lagMs` ago. */
-  private seen(): ListReply {
+  /** Returns the list as of `lagMs` ago. */
+  private listVisible(): ListReply {
     const limit = Date.now() - this.knobs.lagMs;
     const visible = new Map<string, Instance>();
     this.history
@@ -102,16 +111,16 @@
     return {version, instances};
   }
 
-  /** Looks whether the daemons still take connections. */
+  /** Checks whether the daemons accept connections. */
   private async checkDaemons(): Promise<void> {
     const daemons = [...this.newest.values()].filter(
       ({role, state}) => role === 'daemon' && state !== 'gone',
     );
-    await Promise.all(daemons.map(daemon => this.check(daemon)));
+    await Promise.all(daemons.map(daemon => this.checkDaemon(daemon)));
   }
 
-  private async check(daemon: Instance): Promise<void> {
-    const failures = (await takesConnections(daemon.address))
+  private async checkDaemon(daemon: Instance): Promise<void> {
+    const failures = (await acceptsConnections(daemon.address))
       ? 0
       : (this.failures.get(daemon.id) ?? 0) + 1;
     this.failures.set(daemon.id, failures);
@@ -122,7 +131,7 @@
   }
 }
 
-function takesConnections(address: string): Promise<boolean> {
+function acceptsConnections(address: string): Promise<boolean> {
   const [host, port] = address.split(':');
   return new Promise(resolve => {
     const socket = net.connect({host, port: Number(port)});
@@ -130,7 +139,7 @@
       socket.destroy();
       resolve(connected);
     };
-    socket.setTimeout(CHECK_TIMEOUT_MS, () => finish(false));
+    socket.setTimeout(HEALTH_CHECK_TIMEOUT_MS, () => finish(false));
     socket.once('connect', () => finish(true));
     socket.once('error', () => finish(false));
   });
--- a/standins/knobs.ts
+++ b/standins/knobs.ts
@@ -1,4 +1,4 @@
-/** The control call that every stand-in answers: sets faults, reports counts. */
+/** Control service of the stand-ins, which sets their faults and reports their counts. */
 import {
   Server,
   ServerCredentials,
@@ -19,22 +19,22 @@
   type KnobsServer,
 } from '../src/generated/platform.js';
 
-const CALL_MS = 20_000;
+const CALL_TIMEOUT_MS = 20_000;
 
-/** Applies settings and returns a report, both as plain data. */
-export type KnobHandler = (settings: Record<string, unknown>) => unknown;
+/** Applies settings and returns a report; both are JSON values. */
+export type ControlHandler = (settings: Record<string, unknown>) => unknown;
 
-/** A gRPC service that shares the stand-in's server. */
-export interface StandinService {
+/** A gRPC service on the same server as the control service. */
+export interface ControlledService {
   readonly definition: ServiceDefinition;
   readonly implementation: UntypedServiceImplementation;
 }
 
-/** Starts a server with the knobs and further services. */
+/** Starts a gRPC server at "ip:port" with the control service and further services. */
 export async function startStandinServer(
   address: string,
-  handler: KnobHandler,
-  services: readonly StandinService[] = [],
+  handler: ControlHandler,
+  services: readonly ControlledService[] = [],
 ): Promise<Server> {
   const knobs: KnobsServer = {
     turn: (call, callback) => {
@@ -54,7 +54,7 @@
   return server;
 }
 
-/** Turns knobs of a stand-in from another process. */
+/** Client of a stand-in's control service. */
 export class Knobs {
   private readonly client: KnobsClient;
   private readonly clock = SystemClock.create();
@@ -71,9 +71,9 @@
     return new Knobs(address);
   }
 
-  /** Applies settings and returns the stand-in's report. */
+  /** Applies settings and returns the stand-in's report; throws if the call fails. */
   async turn<T>(settings: Record<string, unknown> = {}): Promise<T> {
-    const deadline = this.clock.now() + CALL_MS;
+    const deadline = this.clock.now() + CALL_TIMEOUT_MS;
     const result = await callUnary<KnobReport>(
       this.clock,
       deadline,
@@ -91,8 +91,8 @@
   }
 }
 
-/** Copies the settings that a record of knobs knows. */
-export function turnKnobs<T extends object>(
+/** Copies the settings that `knobs` declares into it and ignores others. */
+export function applyKnobs<T extends object>(
   knobs: T,
   settings: Record<string, unknown>,
 ): void {
--- a/standins/main.ts
+++ b/standins/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The stand-ins' program: `main.js KIND --listen ip:port ...`. */
+/** Runs one kind of stand-in: `main.js KIND --listen ip:port ...`. */
 import {cac} from 'cac';
 import {BackendStandin} from './backend-server.js';
 import {FabricStandin} from './fabric.js';
@@ -8,7 +8,7 @@
 import {RequestCallers} from './request-callers.js';
 import {StoreStandin} from './store.js';
 
-/** Options of all kinds; each uses those it needs. */
+/** Options of all kinds of stand-ins; each kind uses some of them. */
 interface Options {
   readonly listen: string;
   readonly list: string;
@@ -24,18 +24,18 @@
 
 const program = cac('weldyard-standin');
 program
-  .option('--listen <address>', 'ip:port; several with commas (backends)')
-  .option('--list <address>', 'instance list')
-  .option('--fabric <address>', 'fabric')
+  .option('--listen <address>', 'ip:port; comma-separated list for backends')
+  .option('--list <address>', 'ip:port of the instance list')
+  .option('--fabric <address>', 'ip:port of the fabric')
   .option('--domain <name>', 'failure domain', {default: 'hall-a'})
   .option('--services <names>', 'workspace/service names', {default: ''})
-  .option('--slots <count>', 'requests at once', {default: 3})
-  .option('--connections <count>', 'open flows', {default: 2000})
-  .option('--service-ms <time>', 'mean time of a request', {default: 20})
+  .option('--slots <count>', 'concurrent requests', {default: 3})
+  .option('--connections <count>', 'maximum open flows', {default: 2000})
+  .option('--service-ms <time>', 'mean request duration', {default: 20})
   .option('--entries <json>', 'request addresses by daemon id', {
     default: '{}',
   })
-  .option('--seed <number>', 'seed of random numbers', {default: 1});
+  .option('--seed <number>', 'seed of the random numbers', {default: 1});
 
 program
   .command('store', 'key-value store')
@@ -43,10 +43,10 @@
     StoreStandin.create(options.listen, options.seed),
   );
 program
-  .command('instance-list', 'list of instances')
+  .command('instance-list', 'instance list')
   .action((options: Options) => InstanceListStandin.create(options.listen));
 program
-  .command('fabric', 'sprays packets over daemons')
+  .command('fabric', 'distributes packets across daemons')
   .action((options: Options) =>
     FabricStandin.create({
       address: options.listen,
@@ -71,7 +71,7 @@
   ),
 );
 program
-  .command('flow-callers', 'callers that hold flows open')
+  .command('flow-callers', 'callers with long-lived flows')
   .action((options: Options) =>
     FlowCallers.create(options.listen, options.fabric, options.seed),
   );
--- a/standins/memory-backends.ts
+++ b/standins/memory-backends.ts
@@ -1,4 +1,4 @@
-/** Backend servers of flows in one process, with the oracle's counts. */
+/** In-memory backend servers that accept flows and count misrouted packets and resets. */
 import {errAsync, type ResultAsync} from 'neverthrow';
 import {Packet, PacketKind} from '../src/generated/packet.js';
 import type {HealthReply, RunReply} from '../src/generated/request.js';
@@ -7,32 +7,32 @@
   BackendUnreachable,
   type BackendFailure,
 } from '../src/ports/backend-servers.js';
-import {readClaim} from './flow-payload.js';
+import {decodePayload} from './flow-payload.js';
 
-/** Told of each packet that a server got. */
+/** Called for each packet that a server received; `reset`: the server reset the flow. */
 export type PacketListener = (
   server: string,
   packet: Packet,
   reset: boolean,
 ) => void;
 
-/** Servers that know which flows they opened. */
+/** Backend servers that track their open flows. */
 export class MemoryBackends extends BackendServers {
   /** Open flows by server. */
   readonly flows = new Map<string, Set<string>>();
-  /** Packets of another service than the server's. */
+  /** Packets received for another service than the server's. */
   misrouted = 0;
   resets = 0;
 
   private constructor(
-    /** The service of each server. */
+    /** Service by server. */
     private readonly services: ReadonlyMap<string, string>,
     private readonly listener: PacketListener,
   ) {
     super();
   }
 
-  /** Creates servers. */
+  /** Creates servers without flows. */
   static create(
     services: ReadonlyMap<string, string>,
     listener: PacketListener = () => undefined,
@@ -46,7 +46,7 @@
     const open = this.flowsOf(server);
     const reset = packet.kind === PacketKind.DATA && !open.has(flow);
     this.misrouted +=
-      this.services.get(server) === readClaim(packet.payload) ? 0 : 1;
+      this.services.get(server) === decodePayload(packet.payload) ? 0 : 1;
     this.resets += reset ? 1 : 0;
     if (packet.kind === PacketKind.OPEN) {
       open.add(flow);
@@ -58,14 +58,14 @@
   }
 
   run(server: string): ResultAsync<RunReply, BackendFailure> {
-    return errAsync(BackendUnreachable.create(server, 'takes flows only'));
+    return errAsync(BackendUnreachable.create(server, 'accepts flows only'));
   }
 
   health(server: string): ResultAsync<HealthReply, BackendFailure> {
-    return errAsync(BackendUnreachable.create(server, 'takes flows only'));
+    return errAsync(BackendUnreachable.create(server, 'accepts flows only'));
   }
 
-  /** Open flows of a server. */
+  /** Returns the open flows of a server. */
   flowsOf(server: string): Set<string> {
     const known = this.flows.get(server);
     if (known !== undefined) {
--- a/standins/memory-fleet.ts
+++ b/standins/memory-fleet.ts
@@ -1,4 +1,4 @@
-/** Several coordinators in one process over fakes of every port. */
+/** Runs several flow coordinators in one process over in-memory ports. */
 import {MemoryCounters} from '../src/adapters/memory-counters.js';
 import {Packet, PacketKind} from '../src/generated/packet.js';
 import type {RevisionBundle, ServerMark} from '../src/generated/peer.js';
@@ -11,22 +11,22 @@
 import type {StateScope} from '../src/routing/router.js';
 import {MarkKind, type MarkState} from '../src/routing/server-marks.js';
 import {FakeClock, ProcessClock} from './fake-clock.js';
-import {writeClaim} from './flow-payload.js';
+import {encodePayload} from './flow-payload.js';
 import {MemoryBackends, type PacketListener} from './memory-backends.js';
 import {MemoryNetwork, MemoryPeers} from './memory-network.js';
 import {Random} from '../src/routing/random.js';
 
 const FIRST_PORT = 7_000;
 
-/** A time line that keeps nothing. */
-export class SilentTimeline extends Timeline {
+/** A timeline that discards its records. */
+export class NoopTimeline extends Timeline {
   private constructor() {
     super();
   }
 
-  /** Creates the time line. */
-  static create(): SilentTimeline {
-    return new SilentTimeline();
+  /** Creates the timeline. */
+  static create(): NoopTimeline {
+    return new NoopTimeline();
   }
 
   record(): void {}
@@ -38,11 +38,11 @@
   }
 }
 
-/** What a fleet is made from. */
+/** Options of a fleet. */
 export interface MemoryFleetOptions {
   readonly hasher: Hasher;
   readonly seed: number;
-  /** The service of each backend server. */
+  /** Service by backend server. */
   readonly services: ReadonlyMap<string, string>;
   readonly listener?: PacketListener;
   readonly scope?: StateScope;
@@ -58,21 +58,21 @@
   readonly coordinator: FlowCoordinator;
   readonly counters: MemoryCounters;
   readonly clock: ProcessClock;
-  /** Until then it runs nothing; packets wait. */
+  /** Whether its timers are held and its packets are queued. */
   frozen: boolean;
 }
 
-/** Daemons, network, servers and clock of one test. */
+/** Daemons with their network, backend servers and virtual clock. */
 export class MemoryFleet {
   readonly clock = FakeClock.create();
   readonly random: Random;
   readonly network: MemoryNetwork;
   readonly backends: MemoryBackends;
   readonly daemons = new Map<string, FleetDaemon>();
-  /** The configuration as the store holds it. */
+  /** Latest published revision of the configuration. */
   revision: RoutingRevision = {revision: 0, addresses: []};
   private markVersion = 0;
-  private nextDaemon = 1;
+  private nextDaemonNumber = 1;
   private readonly frozenPackets = new Map<string, Packet[]>();
 
   private constructor(private readonly options: MemoryFleetOptions) {
@@ -86,20 +86,20 @@
     return new MemoryFleet(options);
   }
 
-  /** Daemons that run and are not frozen. */
+  /** Daemons that are not frozen. */
   get running(): FleetDaemon[] {
     return [...this.daemons.values()].filter(({frozen}) => !frozen);
   }
 
-  /** Daemons that the fabric hands packets to. */
+  /** Running daemons that accept packets from the fabric. */
   get ready(): FleetDaemon[] {
     return this.running.filter(({coordinator}) => coordinator.isReady);
   }
 
-  /** Starts a daemon; it joins as time moves on. */
+  /** Starts a daemon, which joins the fleet as the clock advances. */
   async join(domain: string): Promise<FleetDaemon> {
-    const number = this.nextDaemon;
-    this.nextDaemon += 1;
+    const number = this.nextDaemonNumber;
+    this.nextDaemonNumber += 1;
     const id = `daemon-${number}`;
     const address = `127.0.0.1:${FIRST_PORT + number}`;
     const daemon = this.createDaemon(id, address, domain);
@@ -107,39 +107,42 @@
     this.daemons.set(id, daemon);
     await this.network.attach(address, {
       ...daemon.coordinator.handlers(),
-      onForward: () => Promise.reject(new Error('flows only')),
+      onForward: () => Promise.reject(new Error('fleet accepts no requests')),
       onKeepKeys: () => 0,
       onPullKeys: () => [],
     });
     daemon.coordinator.start();
     if (this.revision.revision > 0 && others.length === 0) {
-      this.tell(daemon);
+      this.sendRevision(daemon);
     }
     void daemon.coordinator.join(others);
     return daemon;
   }
 
-  /** Leaves in the planned way; takes some seconds of the fleet's time. */
+  /**
+   * Removes a daemon gracefully, advancing the clock until it has left. Returns whether
+   * the handover was confirmed.
+   */
   async leave(id: string): Promise<boolean> {
     const daemon = this.daemons.get(id);
     if (daemon === undefined) {
       return true;
     }
-    let done: boolean | undefined;
+    let isConfirmed: boolean | undefined;
     void daemon.coordinator.leave(this.clock.now() + 10_000).then(confirmed => {
-      done = confirmed;
+      isConfirmed = confirmed;
     });
-    while (done === undefined) {
+    while (isConfirmed === undefined) {
       await this.clock.advance(100);
     }
     daemon.coordinator.stop();
     await this.clock.advance(5);
     this.network.detach(daemon.address);
     this.daemons.delete(id);
-    return done;
+    return isConfirmed;
   }
 
-  /** Ends a daemon at once. */
+  /** Stops a daemon without a handover. */
   crash(id: string): void {
     const daemon = this.daemons.get(id);
     if (daemon !== undefined) {
@@ -149,7 +152,7 @@
     }
   }
 
-  /** Freezes or wakes a daemon. */
+  /** Freezes or resumes a daemon. */
   setFrozen(id: string, frozen: boolean): void {
     const daemon = this.daemons.get(id);
     if (daemon === undefined || daemon.frozen === frozen) {
@@ -160,17 +163,17 @@
       this.network.freeze(daemon.address);
       daemon.clock.freeze();
     } else {
-      this.wake(daemon);
+      this.resume(daemon);
     }
   }
 
-  /** Accepts a revision; some of the daemons read it from the store. */
+  /** Publishes a revision, which `readers` receive at once. */
   edit(revision: RoutingRevision, readers: readonly FleetDaemon[]): void {
     this.revision = revision;
-    readers.forEach(daemon => this.tell(daemon));
+    readers.forEach(daemon => this.sendRevision(daemon));
   }
 
-  /** The platform marks a server; some of the daemons read the list. */
+  /** Marks a server on behalf of the platform; `readers` receive the mark at once. */
   mark(
     server: string,
     state: MarkState,
@@ -190,35 +193,35 @@
     );
   }
 
-  /** The fabric hands a packet to a daemon. */
+  /** Delivers a packet to a daemon, which queues it while frozen. */
   hand(daemon: FleetDaemon, packet: Packet): void {
     if (daemon.frozen) {
       const held = this.frozenPackets.get(daemon.id) ?? [];
       this.frozenPackets.set(daemon.id, [...held, packet]);
       return;
     }
-    this.handOver(daemon, packet);
+    this.handlePacket(daemon, packet);
   }
 
-  /** Timers, packets and datagrams that waited may come in any order. */
-  private wake(daemon: FleetDaemon): void {
+  /** Releases held timers, packets and datagrams, starting with a random kind. */
+  private resume(daemon: FleetDaemon): void {
     const packets = this.frozenPackets.get(daemon.id) ?? [];
     this.frozenPackets.delete(daemon.id);
     const steps = [
       () => daemon.clock.thaw(),
-      () => packets.forEach(packet => this.handOver(daemon, packet)),
+      () => packets.forEach(packet => this.handlePacket(daemon, packet)),
       () => this.network.thaw(daemon.address),
     ];
     const first = this.random.below(steps.length);
     [...steps.slice(first), ...steps.slice(0, first)].forEach(step => step());
   }
 
-  private handOver(daemon: FleetDaemon, packet: Packet): void {
+  private handlePacket(daemon: FleetDaemon, packet: Packet): void {
     const bytes = Packet.encode(packet).finish();
     daemon.coordinator.handle({packet: Packet.decode(bytes), bytes});
   }
 
-  private tell(daemon: FleetDaemon): void {
+  private sendRevision(daemon: FleetDaemon): void {
     const {revision} = this.revision;
     const document = Buffer.from(JSON.stringify(this.revision));
     daemon.coordinator.learn([
@@ -244,10 +247,10 @@
       clock,
       hasher: this.options.hasher,
       counters,
-      timeline: SilentTimeline.create(),
+      timeline: NoopTimeline.create(),
       peers: MemoryPeers.create(this.network, id, address),
       backends: this.backends,
-      read: readBundle,
+      read: decodeBundle,
       maximumEntries: this.options.maximumEntries ?? 1_000_000,
       scope: this.options.scope,
       placement: this.options.placement?.(),
@@ -256,11 +259,11 @@
   }
 }
 
-function readBundle(bundle: RevisionBundle): RoutingRevision {
+function decodeBundle(bundle: RevisionBundle): RoutingRevision {
   return JSON.parse(bundle.document.toString()) as RoutingRevision;
 }
 
-/** A packet of a numbered flow to an address. */
+/** Creates a packet of a numbered flow; the number determines its source. */
 export function packetOf(
   flow: number,
   kind: PacketKind,
@@ -273,7 +276,7 @@
     destinationPort: destination.port,
     kind,
     sequence: 0,
-    payload: writeClaim({service: destination.service}),
+    payload: encodePayload({service: destination.service}),
     returnAddress: '127.0.0.1:1',
   };
 }
--- a/standins/memory-network.ts
+++ b/standins/memory-network.ts
@@ -1,4 +1,4 @@
-/** Peers of daemons in one process, with faults to order. */
+/** In-memory peer network of daemons in one process, with fault injection. */
 import {ResultAsync, errAsync} from 'neverthrow';
 import {
   PeerDatagram,
@@ -18,30 +18,30 @@
 import type {FakeClock} from './fake-clock.js';
 import type {Random} from '../src/routing/random.js';
 
-/** Faults of the network; they apply to datagrams and calls alike. */
+/** Faults of the network, which affect datagrams and calls alike. */
 export interface NetworkFaults {
-  /** Share of datagrams that are lost. */
+  /** Fraction of datagrams that are lost. */
   loss: number;
-  /** Longest delay in milliseconds; datagrams overtake each other. */
-  delayMs: number;
-  /** Confirms entries without delivering them. */
+  /** Maximum random delay; datagrams may be reordered. */
+  maximumDelayMs: number;
+  /** Whether pushed entries are acknowledged but not delivered. */
   swallowPushes: boolean;
 }
 
-/** All daemons that can reach each other. */
+/** The network between all daemons. */
 export class MemoryNetwork {
   readonly faults: NetworkFaults = {
     loss: 0,
-    delayMs: 1,
+    maximumDelayMs: 1,
     swallowPushes: false,
   };
-  /** Ways that are cut, as "from>to". */
+  /** Blocked paths, as "from>to". */
   readonly cut = new Set<string>();
-  /** Bytes of probes and of entries sent by all daemons. */
+  /** Bytes of probes and of pushed entries that the daemons sent. */
   readonly sentBytes = {probes: 0, entries: 0};
   private readonly handlers = new Map<string, PeerHandlers>();
-  /** Datagrams that wait for a frozen daemon. */
-  private readonly frozen = new Map<string, (() => void)[]>();
+  /** Datagrams held for frozen daemons, by address. */
+  private readonly heldDatagrams = new Map<string, (() => void)[]>();
 
   private constructor(
     private readonly clock: FakeClock,
@@ -58,35 +58,35 @@
     this.handlers.set(address, handlers);
   }
 
-  /** Removes a daemon: it neither receives nor sends. */
+  /** Disconnects a daemon, which then neither receives nor sends. */
   detach(address: string): void {
     this.handlers.delete(address);
-    this.frozen.delete(address);
+    this.heldDatagrams.delete(address);
   }
 
-  /** Holds all that arrives at a daemon until it is thawed. */
+  /** Holds the datagrams to a daemon until it thaws. */
   freeze(address: string): void {
-    this.frozen.set(address, this.frozen.get(address) ?? []);
+    this.heldDatagrams.set(address, this.heldDatagrams.get(address) ?? []);
   }
 
-  /** Delivers what was held. */
+  /** Delivers the held datagrams. */
   thaw(address: string): void {
-    const held = this.frozen.get(address) ?? [];
-    this.frozen.delete(address);
+    const held = this.heldDatagrams.get(address) ?? [];
+    this.heldDatagrams.delete(address);
     held.forEach(deliver => deliver());
   }
 
-  /** Cuts or heals one direction between two daemons. */
-  setCut(from: string, to: string, isCut: boolean): void {
+  /** Blocks or unblocks one direction between two daemons. */
+  setCut(from: string, to: string, isBlocked: boolean): void {
     const path = `${from}>${to}`;
-    if (isCut) {
+    if (isBlocked) {
       this.cut.add(path);
     } else {
       this.cut.delete(path);
     }
   }
 
-  /** Sends a datagram. */
+  /** Sends a datagram, which may be lost or delayed. */
   send(
     from: string,
     to: string,
@@ -95,13 +95,16 @@
     if (this.isLost(from, to)) {
       return;
     }
-    const delay = this.random.next() * this.faults.delayMs;
+    const delay = this.random.next() * this.faults.maximumDelayMs;
     this.clock.callAt(this.clock.now() + delay, () =>
       this.deliver(from, to, deliver),
     );
   }
 
-  /** Makes a call; it fails when either way is cut or the daemon is frozen. */
+  /**
+   * Makes a call. It fails at once when either path is blocked or a daemon is
+   * disconnected, and at the deadline when the request is lost or held.
+   */
   call<T>(
     from: string,
     to: string,
@@ -135,7 +138,7 @@
     to: string,
     run: (handlers: PeerHandlers) => void,
   ): void {
-    const held = this.frozen.get(to);
+    const held = this.heldDatagrams.get(to);
     if (held !== undefined) {
       held.push(() => this.deliver(from, to, run));
       return;
@@ -150,13 +153,13 @@
     return (
       this.cut.has(`${from}>${to}`) ||
       !this.handlers.has(from) ||
-      this.frozen.has(from) ||
+      this.heldDatagrams.has(from) ||
       this.random.happens(this.faults.loss)
     );
   }
 }
 
-/** The peers port of one daemon in the network. */
+/** Peers port of one daemon. */
 export class MemoryPeers extends Peers {
   private constructor(
     private readonly network: MemoryNetwork,
--- a/standins/memory-requests.ts
+++ b/standins/memory-requests.ts
@@ -1,4 +1,4 @@
-/** Several daemons' request parts in one process over fakes of every port. */
+/** Runs the request handling of several daemons in one process over in-memory ports. */
 import {ResultAsync, errAsync} from 'neverthrow';
 import {Dispatcher} from '../src/admission/dispatcher.js';
 import {KeyGuard, type GuardedRequest} from '../src/admission/key-guard.js';
@@ -22,16 +22,16 @@
 import type {Hasher} from '../src/ports/hasher.js';
 import {FakeClock, ProcessClock} from './fake-clock.js';
 import {MemoryCounters} from '../src/adapters/memory-counters.js';
-import {SilentTimeline} from './memory-fleet.js';
+import {NoopTimeline} from './memory-fleet.js';
 import {MemoryNetwork, MemoryPeers} from './memory-network.js';
 import {MemoryStore} from './memory-store.js';
 import {Random} from '../src/routing/random.js';
 
-const DAEMONS = 4;
+const DAEMON_COUNT = 4;
 const SERVERS = ['10.1.0.1:80', '10.1.0.2:80', '10.1.0.3:80'];
-const SLOTS = 3;
-const SERVICE_MS = 20;
-const DEADLINE_MS = 5_000;
+const SERVER_SLOTS = 3;
+const REQUEST_DURATION_MS = 20;
+const CALLER_TIMEOUT_MS = 5_000;
 
 const SERVICE: Service = {
   workspace: 'parkwise',
@@ -40,7 +40,7 @@
   address: '10.20.0.1:443',
   servers: SERVERS.map(id => ({id, weight: 1})),
   pool: 'meterpay',
-  slots: SLOTS,
+  slots: SERVER_SLOTS,
   connections: 2_000,
   warmUpMs: 1,
   flexibleShare: 0.25,
@@ -52,11 +52,14 @@
   requestsInFlight: 1_000,
 };
 
-/** Servers that count the runs of each key. */
+/** Backend servers that count the runs of each idempotency key. */
 export class MemoryRequestServers extends BackendServers {
   readonly runs = new Map<string, number>();
+  /** Fraction of answers that are lost. */
   lostAnswers = 0;
+  /** Fraction of answers that are truncated. */
   truncatedAnswers = 0;
+  /** Busy slots by server. */
   private readonly busy = new Map<string, number>();
 
   private constructor(
@@ -66,12 +69,12 @@
     super();
   }
 
-  /** Creates the servers. */
+  /** Creates idle servers. */
   static create(clock: FakeClock, random: Random): MemoryRequestServers {
     return new MemoryRequestServers(clock, random);
   }
 
-  /** The whole answer to a key. */
+  /** Returns the complete answer to the request with a key. */
   answerTo(key: string): string {
     return `answer to ${key}`;
   }
@@ -79,7 +82,7 @@
   send(): void {}
 
   health(server: string): ResultAsync<HealthReply, BackendFailure> {
-    return errAsync(BackendUnreachable.create(server, 'takes requests only'));
+    return errAsync(BackendUnreachable.create(server, 'accepts requests only'));
   }
 
   run(
@@ -89,17 +92,17 @@
   ): ResultAsync<RunReply, BackendFailure> {
     const served = new Promise<RunReply>((resolve, reject) => {
       this.clock.callAt(deadline, () =>
-        reject(BackendSilent.create(server, 'deadline')),
+        reject(BackendSilent.create(server, 'deadline exceeded')),
       );
       const delay = this.random.next() * 3;
       this.clock.callAt(this.clock.now() + delay, () =>
-        this.arrive(server, request, resolve),
+        this.startRequest(server, request, resolve),
       );
     });
     return ResultAsync.fromPromise(served, error => error as BackendFailure);
   }
 
-  private arrive(
+  private startRequest(
     server: string,
     request: RunRequest,
     answer: (reply: RunReply) => void,
@@ -107,7 +110,7 @@
     const {key, attempt, startByMs} = request;
     const busy = this.busy.get(server) ?? 0;
     const late = startByMs > 0 && this.clock.wall() > startByMs;
-    if (late || busy >= SLOTS) {
+    if (late || busy >= SERVER_SLOTS) {
       answer({
         started: false,
         refusal: late ? 'late' : 'shed',
@@ -121,13 +124,13 @@
     }
     this.busy.set(server, busy + 1);
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
-    this.clock.callAt(this.clock.now() + SERVICE_MS, () => {
+    this.clock.callAt(this.clock.now() + REQUEST_DURATION_MS, () => {
       this.busy.set(server, (this.busy.get(server) ?? 1) - 1);
-      this.finish(request, answer);
+      this.finishRequest(request, answer);
     });
   }
 
-  private finish(
+  private finishRequest(
     {key, attempt}: RunRequest,
     answer: (reply: RunReply) => void,
   ): void {
@@ -135,11 +138,11 @@
       return;
     }
     const whole = Buffer.from(this.answerTo(key));
-    const cut = this.random.happens(this.truncatedAnswers);
+    const isTruncated = this.random.happens(this.truncatedAnswers);
     answer({
       started: true,
       refusal: '',
-      body: cut ? whole.subarray(0, 4) : whole,
+      body: isTruncated ? whole.subarray(0, 4) : whole,
       attempt,
       key,
       bodyLength: whole.length,
@@ -148,7 +151,7 @@
   }
 }
 
-/** Ownership by view alone: no lease, no copies, no memory. */
+/** Runs every request: ownership by membership view alone, without leases or records. */
 class ViewKeyGuard extends KeyGuard {
   run(request: GuardedRequest): Promise<Outcome> {
     return request.execute(() => request.deadline);
@@ -165,21 +168,21 @@
   frozen: boolean;
 }
 
-/** What a fleet is made from. */
+/** Options of a fleet. */
 export interface MemoryRequestsOptions {
   readonly hasher: Hasher;
   readonly seed: number;
-  /** False: ownership by view alone, to show what it breaks. */
+  /** Whether leases guard the keys; without them, split views run requests twice. */
   readonly guarded: boolean;
 }
 
-/** A reply that a caller got. */
+/** A reply to a caller, with the key of its request. */
 export interface KeyedReply {
   readonly key: string;
   readonly reply: CallerReply;
 }
 
-/** Daemons, store, servers and callers of one test. */
+/** Daemons, store, backend servers and callers of one test. */
 export class MemoryRequests {
   readonly clock = FakeClock.create();
   readonly store: MemoryStore;
@@ -188,49 +191,49 @@
   private readonly random: Random;
   private readonly network: MemoryNetwork;
   private readonly daemons: RequestDaemon[];
-  private readonly issued = new Map<string, number>();
-  private readonly sends = new Map<string, number>();
-  /** Daemons that one daemon takes for gone, by its id. */
-  private readonly unseen = new Map<string, Set<string>>();
+  private readonly issuedAt = new Map<string, number>();
+  private readonly sendCounts = new Map<string, number>();
+  /** Ids of the daemons that each daemon considers gone, by its id. */
+  private readonly hiddenPeers = new Map<string, Set<string>>();
 
   private constructor(private readonly options: MemoryRequestsOptions) {
     this.random = Random.create(options.seed);
     this.network = MemoryNetwork.create(this.clock, this.random);
     this.store = MemoryStore.create(this.clock, this.random);
     this.backends = MemoryRequestServers.create(this.clock, this.random);
-    this.daemons = Array.from({length: DAEMONS}, (_, index) =>
+    this.daemons = Array.from({length: DAEMON_COUNT}, (_, index) =>
       this.createDaemon(`daemon-${index}`, `127.0.0.1:${7_000 + index}`),
     );
   }
 
-  /** Creates a fleet whose daemons begin to take their ranges. */
+  /** Creates a fleet whose daemons start to acquire their key ranges. */
   static create(options: MemoryRequestsOptions): MemoryRequests {
     return new MemoryRequests(options);
   }
 
-  /** Sends a new payment to one or more daemons at once. */
+  /** Sends a request with a new key to `copies` randomly chosen daemons. */
   send(copies: number): void {
-    const key = `key-${this.issued.size}`;
-    this.issued.set(key, this.clock.wall());
-    Array.from({length: copies}).forEach(() => this.call(key));
+    const key = `key-${this.issuedAt.size}`;
+    this.issuedAt.set(key, this.clock.wall());
+    Array.from({length: copies}).forEach(() => this.submit(key));
   }
 
-  /** A caller sends an earlier payment again. */
-  resend(pick: number): void {
-    const keys = [...this.issued.keys()];
+  /** Resends an earlier request. */
+  resend(index: number): void {
+    const keys = [...this.issuedAt.keys()];
     if (keys.length > 0) {
-      this.call(keys[pick % keys.length]);
+      this.submit(keys[index % keys.length]);
     }
   }
 
-  /** Whether a key was sent more than once, so that one reply is not all. */
+  /** Whether a request was sent more than once, and so may get several replies. */
   wasSentAgain(key: string): boolean {
-    return (this.sends.get(key) ?? 0) > 1;
+    return (this.sendCounts.get(key) ?? 0) > 1;
   }
 
-  /** Pauses a daemon; the others take it for gone. */
-  freeze(pick: number): void {
-    const daemon = this.daemons[pick % DAEMONS];
+  /** Freezes a daemon, which the others consider gone; at most one at a time. */
+  freeze(index: number): void {
+    const daemon = this.daemons[index % DAEMON_COUNT];
     const others = this.daemons.filter(other => other !== daemon);
     if (others.every(({alive, frozen}) => alive && !frozen)) {
       daemon.frozen = true;
@@ -239,7 +242,7 @@
     }
   }
 
-  /** Wakes the paused daemons. */
+  /** Resumes the frozen daemons. */
   thaw(): void {
     this.daemons
       .filter(({frozen}) => frozen)
@@ -250,9 +253,9 @@
       });
   }
 
-  /** Ends a daemon for good; at most one. */
-  crash(pick: number): void {
-    const daemon = this.daemons[pick % DAEMONS];
+  /** Crashes a daemon unless another one is crashed or frozen. */
+  crash(index: number): void {
+    const daemon = this.daemons[index % DAEMON_COUNT];
     if (this.daemons.every(({alive, frozen}) => alive && !frozen)) {
       daemon.alive = false;
       daemon.clock.freeze();
@@ -260,35 +263,35 @@
     }
   }
 
-  /** Makes one daemon take all others for gone. */
-  split(pick: number): void {
-    const daemon = this.daemons[pick % DAEMONS];
+  /** Makes one daemon consider all others gone. */
+  split(index: number): void {
+    const daemon = this.daemons[index % DAEMON_COUNT];
     const others = this.daemons.filter(other => other !== daemon);
-    this.unseen.set(daemon.id, new Set(others.map(({id}) => id)));
+    this.hiddenPeers.set(daemon.id, new Set(others.map(({id}) => id)));
   }
 
-  /** Views agree again. */
+  /** Makes the views of all daemons agree again. */
   agree(): void {
-    this.unseen.clear();
+    this.hiddenPeers.clear();
   }
 
-  private call(key: string): void {
+  private submit(key: string): void {
     const running = this.daemons.filter(({alive, frozen}) => alive && !frozen);
     const daemon = this.random.pick(running);
     if (daemon === undefined) {
       return;
     }
-    this.sends.set(key, (this.sends.get(key) ?? 0) + 1);
+    this.sendCounts.set(key, (this.sendCounts.get(key) ?? 0) + 1);
     void daemon.entry
       .handle({
         workspace: SERVICE.workspace,
         service: SERVICE.name,
         key,
         repeatable: false,
-        timeLeftMs: DEADLINE_MS,
+        timeLeftMs: CALLER_TIMEOUT_MS,
         body: Buffer.alloc(0),
         hops: 0,
-        issuedMs: this.issued.get(key) ?? 0,
+        issuedMs: this.issuedAt.get(key) ?? 0,
       })
       .then(reply => this.replies.push({key, reply}));
   }
@@ -298,7 +301,7 @@
     const clock = ProcessClock.create(this.clock);
     const peers = MemoryPeers.create(this.network, id, address);
     const counters = MemoryCounters.create();
-    const view = this.viewOf(id);
+    const view = this.createView(id);
     const ranges = KeyRanges.create({store: this.store, peers, clock, view});
     const common = {self: id, clock, hasher, counters, backends: this.backends};
     const dispatcher = Dispatcher.create({
@@ -307,12 +310,12 @@
       retryShare: 0.1,
     });
     dispatcher.useServers(
-      SERVERS.map(server => ({id: server, slots: SLOTS})),
-      Array.from({length: DAEMONS}, (_, index) => `daemon-${index}`),
+      SERVERS.map(server => ({id: server, slots: SERVER_SLOTS})),
+      Array.from({length: DAEMON_COUNT}, (_, index) => `daemon-${index}`),
     );
     const entry = RequestEntry.create({
       ...common,
-      timeline: SilentTimeline.create(),
+      timeline: NoopTimeline.create(),
       peers,
       guard: guarded
         ? LeasedKeyGuard.create(ranges, hasher, clock)
@@ -345,15 +348,18 @@
     return {id, address, clock, entry, ranges, alive: true, frozen: false};
   }
 
-  /** What one daemon takes the others for. */
-  private viewOf(self: string): RangeView {
+  /** Creates the membership view of one daemon. */
+  private createView(self: string): RangeView {
     const sees = (id: string) => {
       const daemon = this.daemons?.find(other => other.id === id);
-      const hidden = this.unseen.get(self)?.has(id) === true;
+      const hidden = this.hiddenPeers.get(self)?.has(id) === true;
       const gone = daemon !== undefined && (!daemon.alive || daemon.frozen);
       return id === self || (!hidden && !gone);
     };
-    const all = Array.from({length: DAEMONS}, (_, index) => `daemon-${index}`);
+    const all = Array.from(
+      {length: DAEMON_COUNT},
+      (_, index) => `daemon-${index}`,
+    );
     const ranked = (range: number) => {
       const score = (id: string) => this.options.hasher.hashText(id, range);
       return all.filter(sees).sort((a, b) => score(b) - score(a));
--- a/standins/memory-store.ts
+++ b/standins/memory-store.ts
@@ -1,4 +1,4 @@
-/** The platform's store in one process, with faults to order. */
+/** In-memory implementation of the key-value store port, with fault injection. */
 import {ResultAsync} from 'neverthrow';
 import {
   Store,
@@ -11,7 +11,7 @@
 import type {FakeClock} from './fake-clock.js';
 import type {Random} from '../src/routing/random.js';
 
-const DELAY_MS = 2;
+const ONE_WAY_LATENCY_MS = 2;
 const POLL_MS = 100;
 const EMPTY = new Uint8Array(0);
 
@@ -21,15 +21,16 @@
   readonly deadline: number;
 }
 
-/** Store over virtual time. */
+/** Key-value store on virtual time. */
 export class MemoryStore extends Store {
+  /** Whether every call fails. */
   down = false;
-  /** Share of writes that take effect while their answer is lost. */
+  /** Fraction of writes that take effect although their response is lost. */
   loseAnswers = 0;
   calls = 0;
   private readonly values = new Map<string, StoredValue>();
   private readonly leases = new Map<string, Lease>();
-  private tokens = 0;
+  private lastToken = 0;
 
   private constructor(
     private readonly clock: FakeClock,
@@ -69,9 +70,9 @@
     deadline: number,
   ): ResultAsync<StoredValue, StoreFailure> {
     const poll = async (): Promise<StoredValue> => {
-      await this.pause(POLL_MS);
+      await this.sleep(POLL_MS);
       if (this.down) {
-        throw StoreUnavailable.create('watch', 'down');
+        throw StoreUnavailable.create('watch', 'store is down');
       }
       const value = this.read(key);
       const over = this.clock.now() >= deadline;
@@ -93,8 +94,8 @@
       if (taken && known.holder !== holder) {
         return {...known, held: false};
       }
-      this.tokens += taken ? 0 : 1;
-      const token = taken ? known.token : this.tokens;
+      this.lastToken += taken ? 0 : 1;
+      const token = taken ? known.token : this.lastToken;
       const lease = {holder, token, deadline};
       this.leases.set(key, lease);
       return {...lease, held: true};
@@ -124,14 +125,14 @@
   ): ResultAsync<T, StoreFailure> {
     this.calls += 1;
     const served = async (): Promise<T> => {
-      await this.pause(DELAY_MS);
+      await this.sleep(ONE_WAY_LATENCY_MS);
       if (this.down) {
-        throw StoreUnavailable.create(call, 'down');
+        throw StoreUnavailable.create(call, 'store is down');
       }
       const result = run();
-      await this.pause(DELAY_MS);
+      await this.sleep(ONE_WAY_LATENCY_MS);
       if (writes && this.random.happens(this.loseAnswers)) {
-        throw StoreUnavailable.create(call, 'the answer was lost');
+        throw StoreUnavailable.create(call, 'response lost');
       }
       return result;
     };
@@ -141,7 +142,7 @@
     );
   }
 
-  private pause(milliseconds: number): Promise<void> {
+  private sleep(milliseconds: number): Promise<void> {
     return new Promise(resolve => {
       this.clock.callAt(this.clock.now() + milliseconds, resolve);
     });
--- a/standins/request-callers.ts
+++ b/standins/request-callers.ts
@@ -1,4 +1,4 @@
-/** Stand-in of callers that send requests and resend unanswered ones. */
+/** Stand-in for callers that send requests and retry unanswered ones. */
 import {credentials} from '@grpc/grpc-js';
 import {build, type Histogram} from 'hdr-histogram-js';
 import {CHANNEL_OPTIONS, callUnary} from '../src/adapters/grpc-call.js';
@@ -10,41 +10,44 @@
   type CallerReply,
   type CallerRequest,
 } from '../src/generated/request.js';
-import {answerTo} from './backend-server.js';
+import {createAnswer} from './backend-server.js';
 import {startStandinServer} from './knobs.js';
 import {Random} from '../src/routing/random.js';
 
-const STEP_MS = 5;
-const POLL_MS = 200;
+const TICK_MS = 5;
+const LIST_POLL_INTERVAL_MS = 200;
 const LATENCY_DIGITS = 3;
-const MICROSECONDS = 1_000;
-const RESEND_MS = 200;
+const MICROSECONDS_PER_MS = 1_000;
+const RETRY_DELAY_MS = 200;
 
-/** An order to send requests, as the knobs take it. */
+/** Command of the control service to send requests. */
 export interface RequestOrder {
   readonly workspace: string;
   readonly service: string;
   readonly repeatable: boolean;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number;
+  /** Duration of the load, in seconds. */
   readonly seconds: number;
-  /** Milliseconds that a caller waits in all. */
+  /** Total time that a caller waits for an answer, in milliseconds. */
   readonly deadlineMs: number;
-  /** Share of requests that are sent twice at once, to two daemons. */
+  /** Fraction of requests that are sent twice at once, each to a random daemon. */
   readonly duplicates: number;
 }
 
-/** How a key's request ended for its caller. */
+/** Outcome of a request for its caller. */
 export interface KeyOutcome {
   readonly key: string;
   readonly service: string;
   readonly status: RequestStatus;
   readonly reason: string;
+  /** Whether the answer is not that of the key. */
   readonly wrong: boolean;
+  /** Whether the answer is truncated. */
   readonly partial: boolean;
 }
 
-/** What the callers report of one workspace's service. */
+/** Report on the requests of one command. */
 export interface RequestReport {
   readonly workspace: string;
   readonly service: string;
@@ -59,20 +62,21 @@
   readonly p99Ms: number;
 }
 
-interface Tally {
-  readonly order: RequestOrder;
+/** Requests and outcomes of one command. */
+interface CommandProgress {
+  readonly command: RequestOrder;
   readonly histogram: Histogram;
   readonly outcomes: KeyOutcome[];
   requests: number;
-  startMs: number;
+  startedAtMs: number;
 }
 
-/** Callers of requests. */
+/** Callers that send requests to random daemons. */
 export class RequestCallers {
   private readonly random: Random;
   private readonly clock = SystemClock.create();
   private readonly clients = new Map<string, RequestsClient>();
-  private readonly tallies = new Map<string, Tally>();
+  private readonly progressByName = new Map<string, CommandProgress>();
   private daemons: string[] = [];
   private nextKey = 0;
 
@@ -95,21 +99,23 @@
   ): Promise<RequestCallers> {
     const list = GrpcInstanceList.create(listAddress, SystemClock.create());
     const callers = new RequestCallers(list, entries, address, seed);
-    await startStandinServer(address, settings => callers.turn(settings));
-    void callers.follow();
-    setInterval(() => callers.step(), STEP_MS);
+    await startStandinServer(address, settings =>
+      callers.applySettings(settings),
+    );
+    void callers.pollInstances();
+    setInterval(() => callers.tick(), TICK_MS);
     return callers;
   }
 
-  private turn(settings: Record<string, unknown>): unknown {
-    const order = settings['send'] as RequestOrder | undefined;
-    if (order !== undefined) {
-      const name = `${order.workspace}/${order.service}/${this.tallies.size}`;
-      this.tallies.set(name, createTally(order));
+  private applySettings(settings: Record<string, unknown>): unknown {
+    const command = settings['send'] as RequestOrder | undefined;
+    if (command !== undefined) {
+      const name = `${command.workspace}/${command.service}/${this.progressByName.size}`;
+      this.progressByName.set(name, createProgress(command));
     }
     const entries = settings['entries'] as Record<string, string> | undefined;
     this.entries = {...this.entries, ...entries};
-    const reports = [...this.tallies.values()].map(reportOf);
+    const reports = [...this.progressByName.values()].map(createReport);
     return {
       reports,
       pending: reports.reduce(
@@ -123,12 +129,12 @@
       ),
       outcomes:
         settings['listOutcomes'] === true
-          ? [...this.tallies.values()].flatMap(({outcomes}) => outcomes)
+          ? [...this.progressByName.values()].flatMap(({outcomes}) => outcomes)
           : [],
     };
   }
 
-  private async follow(): Promise<void> {
+  private async pollInstances(): Promise<void> {
     const listing = await this.list.list();
     listing.map(({instances}) => {
       this.daemons = instances
@@ -137,74 +143,77 @@
         .filter(address => address !== undefined);
       return instances;
     });
-    setTimeout(() => void this.follow(), POLL_MS);
+    setTimeout(() => void this.pollInstances(), LIST_POLL_INTERVAL_MS);
   }
 
-  private step(): void {
+  private tick(): void {
     const now = this.clock.now();
-    this.tallies.forEach(tally => {
-      const {order, startMs} = tally;
-      const seconds = Math.min((now - startMs) / 1_000, order.seconds);
-      const due = Math.floor(seconds * order.rate) - tally.requests;
+    this.progressByName.forEach(progress => {
+      const {command, startedAtMs} = progress;
+      const seconds = Math.min((now - startedAtMs) / 1_000, command.seconds);
+      const due = Math.floor(seconds * command.rate) - progress.requests;
       Array.from({length: Math.max(0, due)}).forEach(() => {
-        tally.requests += 1;
-        void this.send(tally);
+        progress.requests += 1;
+        void this.sendRequest(progress);
       });
     });
   }
 
-  /** One caller: sends, and resends with the same key until it has an end. */
-  private async send(tally: Tally): Promise<void> {
-    const {order} = tally;
+  /** Sends one request, retrying with the same key, and records its outcome. */
+  private async sendRequest(progress: CommandProgress): Promise<void> {
+    const {command} = progress;
     this.nextKey += 1;
-    const startMs = this.clock.now();
-    const deadline = startMs + order.deadlineMs;
+    const startedAtMs = this.clock.now();
+    const deadline = startedAtMs + command.deadlineMs;
     const request: CallerRequest = {
-      workspace: order.workspace,
-      service: order.service,
+      workspace: command.workspace,
+      service: command.service,
       key: `${this.name}-${this.nextKey}`,
-      repeatable: order.repeatable,
-      timeLeftMs: order.deadlineMs,
+      repeatable: command.repeatable,
+      timeLeftMs: command.deadlineMs,
       body: Buffer.from('body'),
       hops: 0,
       issuedMs: Date.now(),
     };
-    const twice = this.random.happens(order.duplicates);
+    const twice = this.random.happens(command.duplicates);
     const replies = await Promise.all(
-      [0, ...(twice ? [1] : [])].map(() => this.callUntil(request, deadline)),
+      [0, ...(twice ? [1] : [])].map(() =>
+        this.callWithRetries(request, deadline),
+      ),
     );
-    const best = replies.reduce(firstAnswered);
-    tally.outcomes.push(judge(request, best));
-    if (best.status === RequestStatus.ANSWERED) {
-      const microseconds = (this.clock.now() - startMs) * MICROSECONDS;
-      tally.histogram.recordValue(microseconds);
+    const reply = replies.reduce(preferAnswered);
+    progress.outcomes.push(evaluateReply(request, reply));
+    if (reply.status === RequestStatus.ANSWERED) {
+      const microseconds =
+        (this.clock.now() - startedAtMs) * MICROSECONDS_PER_MS;
+      progress.histogram.recordValue(microseconds);
     }
   }
 
-  private async callUntil(
+  private async callWithRetries(
     request: CallerRequest,
     deadline: number,
   ): Promise<CallerReply> {
-    const client = this.randomClient();
+    const client = this.pickClient();
     const timeLeftMs = Math.max(1, Math.floor(deadline - this.clock.now()));
     if (client !== undefined) {
       const result = await callUnary<CallerReply>(
         this.clock,
-        deadline + RESEND_MS,
+        deadline + RETRY_DELAY_MS,
         (...rest) => client.call({...request, timeLeftMs}, ...rest),
       );
       if (result.isOk()) {
         return result.value;
       }
     }
-    if (this.clock.now() + RESEND_MS >= deadline) {
-      return noReply();
+    if (this.clock.now() + RETRY_DELAY_MS >= deadline) {
+      return createNoReply();
     }
-    await new Promise(resolve => setTimeout(resolve, RESEND_MS));
-    return this.callUntil(request, deadline);
+    await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS));
+    return this.callWithRetries(request, deadline);
   }
 
-  private randomClient(): RequestsClient | undefined {
+  private pickClient(): RequestsClient | undefined {
     const address = this.random.pick(this.daemons);
     if (address === undefined) {
       return undefined;
@@ -223,18 +232,18 @@
   }
 }
 
-function createTally(order: RequestOrder): Tally {
+function createProgress(command: RequestOrder): CommandProgress {
   return {
-    order,
+    command,
     histogram: build({numberOfSignificantValueDigits: LATENCY_DIGITS}),
     outcomes: [],
     requests: 0,
-    startMs: performance.now(),
+    startedAtMs: performance.now(),
   };
 }
 
-/** The caller itself does not know whether it ran. */
-function noReply(): CallerReply {
+/** Creates the reply for a request that no daemon answered: it may have run. */
+function createNoReply(): CallerReply {
   return {
     status: RequestStatus.UNKNOWN,
     reason: 'no-reply',
@@ -243,21 +252,18 @@
   };
 }
 
-/**
- * Of two replies to one key an answer counts; "not run" counts only when both
- * say so.
- */
-function firstAnswered(a: CallerReply, b: CallerReply): CallerReply {
+/** Selects the more conclusive reply: answered, then unknown, then not run. */
+function preferAnswered(a: CallerReply, b: CallerReply): CallerReply {
   const rank = ({status}: CallerReply) =>
     [RequestStatus.ANSWERED, RequestStatus.UNKNOWN].indexOf(status as 0 | 2) >>>
     0;
   return rank(b) < rank(a) ? b : a;
 }
 
-function judge(request: CallerRequest, reply: CallerReply): KeyOutcome {
+function evaluateReply(request: CallerRequest, reply: CallerReply): KeyOutcome {
   const answered = reply.status === RequestStatus.ANSWERED;
   const body = reply.body.toString();
-  const expected = answerTo(request.key);
+  const expected = createAnswer(request.key);
   return {
     key: request.key,
     service: request.service,
@@ -268,8 +274,8 @@
   };
 }
 
-function reportOf(tally: Tally): RequestReport {
-  const {order, outcomes, histogram} = tally;
+function createReport(progress: CommandProgress): RequestReport {
+  const {command, outcomes, histogram} = progress;
   const withStatus = (status: RequestStatus) =>
     outcomes.filter(outcome => outcome.status === status).length;
   const reasons: Record<string, number> = {};
@@ -277,16 +283,16 @@
     reasons[reason] = (reasons[reason] ?? 0) + 1;
   });
   return {
-    workspace: order.workspace,
-    service: order.service,
-    requests: tally.requests,
+    workspace: command.workspace,
+    service: command.service,
+    requests: progress.requests,
     answered: withStatus(RequestStatus.ANSWERED),
     notRun: withStatus(RequestStatus.NOT_RUN),
     unknown: withStatus(RequestStatus.UNKNOWN),
     wrongAnswers: outcomes.filter(({wrong}) => wrong).length,
     partialAnswers: outcomes.filter(({partial}) => partial).length,
     reasons,
-    p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS,
-    p99Ms: histogram.getValueAtPercentile(99) / MICROSECONDS,
+    p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
+    p99Ms: histogram.getValueAtPercentile(99) / MICROSECONDS_PER_MS,
   };
 }
--- a/standins/store.ts
+++ b/standins/store.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's key-value store. */
+/** Stand-in for the platform's key-value store, as a gRPC server with fault injection. */
 import {status, type sendUnaryData} from '@grpc/grpc-js';
 import {
   KeyValueService,
@@ -11,7 +11,7 @@
   type WatchRequest,
 } from '../src/generated/platform.js';
 import {MAXIMUM_VALUE_BYTES} from '../src/ports/store.js';
-import {startStandinServer, turnKnobs} from './knobs.js';
+import {startStandinServer, applyKnobs} from './knobs.js';
 import {Random} from '../src/routing/random.js';
 
 interface StoredEntry {
@@ -25,26 +25,28 @@
   deadline: number;
 }
 
-interface Waiter {
+/** A watch that has not been answered. */
+interface PendingWatch {
   readonly request: WatchRequest;
+  /** Answers the call with the current value. */
   readonly answer: () => void;
 }
 
 const EMPTY: StoredEntry = {value: Buffer.alloc(0), version: 0};
 
-/** The store in memory, with faults to order. */
+/** Key-value store in memory whose faults are set through its control service. */
 export class StoreStandin {
   private readonly entries = new Map<string, StoredEntry>();
   private readonly leases = new Map<string, Lease>();
-  private waiters: Waiter[] = [];
-  private tokens = 0;
+  private pendingWatches: PendingWatch[] = [];
+  private lastToken = 0;
   private readonly random: Random;
   private readonly knobs = {
-    /** Refuses every call. */
+    /** Whether every call fails. */
     down: false,
     /** Delay before a call takes effect, in milliseconds. */
     slowMs: 0,
-    /** Share of writes that take effect while their answer is lost. */
+    /** Fraction of writes that take effect although their response is lost. */
     loseAnswers: 0,
   };
   private readonly counts = {calls: 0, writes: 0, reads: 0, watches: 0};
@@ -56,19 +58,21 @@
   /** Starts the store at "ip:port". */
   static async create(address: string, seed: number): Promise<StoreStandin> {
     const store = new StoreStandin(seed);
-    await startStandinServer(address, settings => store.turn(settings), [
-      {definition: KeyValueService, implementation: {...store.service()}},
-    ]);
+    await startStandinServer(
+      address,
+      settings => store.applySettings(settings),
+      [{definition: KeyValueService, implementation: {...store.service()}}],
+    );
     return store;
   }
 
-  private turn(settings: Record<string, unknown>): unknown {
-    turnKnobs(this.knobs, settings);
+  private applySettings(settings: Record<string, unknown>): unknown {
+    applyKnobs(this.knobs, settings);
     if (this.knobs.down) {
-      this.waiters.forEach(waiter => waiter.answer());
-      this.waiters = [];
+      this.pendingWatches.forEach(watch => watch.answer());
+      this.pendingWatches = [];
     }
-    return {...this.counts, waiting: this.waiters.length};
+    return {...this.counts, waiting: this.pendingWatches.length};
   }
 
   private service(): KeyValueServer {
@@ -85,7 +89,7 @@
     };
   }
 
-  /** Serves one call with the faults in force. */
+  /** Serves a call, subject to the current faults. */
   private serve<T>(
     kind: 'reads' | 'writes',
     callback: sendUnaryData<T>,
@@ -95,14 +99,14 @@
     this.counts[kind] += 1;
     const finish = () => {
       if (this.knobs.down) {
-        fail(callback, 'the store is down');
+        fail(callback, 'store is down');
         return;
       }
       const reply = run();
       const lost =
         kind === 'writes' && this.random.happens(this.knobs.loseAnswers);
       if (lost) {
-        fail(callback, 'the answer was lost');
+        fail(callback, 'response lost');
       } else {
         callback(null, reply);
       }
@@ -130,7 +134,7 @@
     }
     const version = known.version + 1;
     this.entries.set(key, {value, version});
-    this.wake(key);
+    this.notifyWatches(key);
     return {swapped: true, version, value: Buffer.alloc(0)};
   }
 
@@ -141,7 +145,7 @@
     this.counts.calls += 1;
     this.counts.watches += 1;
     if (this.knobs.down) {
-      fail(callback, 'the store is down');
+      fail(callback, 'store is down');
       return;
     }
     if (this.read(request.key).version > request.afterVersion) {
@@ -149,7 +153,7 @@
       return;
     }
     const timer = setTimeout(() => answer(), request.timeoutMs);
-    const waiter: Waiter = {
+    const pending: PendingWatch = {
       request,
       answer: () => {
         clearTimeout(timer);
@@ -157,10 +161,12 @@
       },
     };
     const answer = () => {
-      this.waiters = this.waiters.filter(other => other !== waiter);
-      waiter.answer();
+      this.pendingWatches = this.pendingWatches.filter(
+        other => other !== pending,
+      );
+      pending.answer();
     };
-    this.waiters.push(waiter);
+    this.pendingWatches.push(pending);
   }
 
   private answerWatch(
@@ -169,17 +175,21 @@
   ): void {
     setTimeout(() => {
       if (this.knobs.down) {
-        fail(callback, 'the store is down');
+        fail(callback, 'store is down');
       } else {
         callback(null, this.read(request.key));
       }
     }, this.knobs.slowMs);
   }
 
-  private wake(key: string): void {
-    const woken = this.waiters.filter(({request}) => request.key === key);
-    this.waiters = this.waiters.filter(({request}) => request.key !== key);
-    woken.forEach(waiter => waiter.answer());
+  private notifyWatches(key: string): void {
+    const matching = this.pendingWatches.filter(
+      ({request}) => request.key === key,
+    );
+    this.pendingWatches = this.pendingWatches.filter(
+      ({request}) => request.key !== key,
+    );
+    matching.forEach(watch => watch.answer());
   }
 
   private acquire(request: LeaseRequest): LeaseReply {
@@ -190,10 +200,10 @@
       return leaseReply(known, false, now);
     }
     const renewed = taken && known.holder === request.holder;
-    this.tokens += renewed ? 0 : 1;
+    this.lastToken += renewed ? 0 : 1;
     const lease: Lease = {
       holder: request.holder,
-      token: renewed ? known.token : this.tokens,
+      token: renewed ? known.token : this.lastToken,
       deadline: now + request.timeToLiveMs,
     };
     this.leases.set(request.key, lease);
--- a/standins/template.ts
+++ b/standins/template.ts
@@ -1,38 +1,40 @@
 /**
- * Fills the gaps of a settings template: `{{a.b}}` stands for a value, a list is
- * joined by commas, and a value that is missing leaves nothing. What stands between
- * `{{#a}}` and `{{/a}}` is repeated for each entry of a table, whose key and value are
- * `{{@}}` and `{{.}}` there.
+ * Renders settings templates: `{{a.b}}` is replaced by a value; lists are joined by
+ * commas, missing values are empty. A section from `{{#a}}` to `{{/a}}` is repeated for
+ * each entry of a table, with the key as `{{@}}` and the value as `{{.}}`.
  */
 
-/** A gap; its path names the parts of a tree from the root, between points. */
-const GAP = /\{\{(?<path>[\w.]+)\}\}/g;
+/** A placeholder with the dot-separated path of its value. */
+const PLACEHOLDER = /\{\{(?<path>[\w.]+)\}\}/g;
 
-/** A part that is repeated for each entry of a table, with its line breaks. */
-const TABLE = /\{\{#(?<path>[\w.]+)\}\}\n(?<part>[^]*?)\{\{\/\k<path>\}\}\n?/g;
+/** A section for a table, with its line breaks. */
+const TABLE_SECTION =
+  /\{\{#(?<path>[\w.]+)\}\}\n(?<part>[^]*?)\{\{\/\k<path>\}\}\n?/g;
 
-/** Fills a template from a tree of values. */
+/** Renders a template with a tree of values. */
 export function fillTemplate(template: string, values: object): string {
-  const whole = template.replace(TABLE, (_table, path: string, part: string) =>
-    repeatFor(valueAt(values, path), part),
+  const withTables = template.replace(
+    TABLE_SECTION,
+    (_section, path: string, part: string) =>
+      renderTable(findValue(values, path), part),
   );
-  return whole.replace(GAP, (_gap, path: string) =>
-    textOf(valueAt(values, path)),
+  return withTables.replace(PLACEHOLDER, (_placeholder, path: string) =>
+    formatValue(findValue(values, path)),
   );
 }
 
-function repeatFor(table: unknown, part: string): string {
+function renderTable(table: unknown, part: string): string {
   return typeof table === 'object' && table !== null
     ? Object.entries(table)
         .map(([key, value]) =>
-          part.replaceAll('{{@}}', key).replaceAll('{{.}}', textOf(value)),
+          part.replaceAll('{{@}}', key).replaceAll('{{.}}', formatValue(value)),
         )
         .join('')
     : '';
 }
 
-/** The value at a path; undefined when the tree does not hold it. */
-function valueAt(values: object, path: string): unknown {
+/** Returns the value at a path; undefined: the tree has none. */
+function findValue(values: object, path: string): unknown {
   return path
     .split('.')
     .reduce<unknown>(
@@ -44,8 +46,8 @@
     );
 }
 
-/** A value as it is written into the settings. */
-function textOf(value: unknown): string {
+/** Formats a value for the settings. */
+function formatValue(value: unknown): string {
   if (value === undefined || value === null) {
     return '';
   }
