--- a/standins/catalog-records.ts
+++ b/standins/catalog-records.ts
@@ -1,15 +1,19 @@
-/** Records of the catalog for tests and stand-ins, with the usual values filled in. */
+/** Creates catalog records with default values for tests and stand-ins. */
 import {
   ServerState,
   type CatalogRoute,
   type CatalogServer,
 } from '../src/catalog/records.js';
 
-/** What sets one route apart from another. */
-type RoutePart = Partial<CatalogRoute> & Pick<CatalogRoute, 'address' | 'port'>;
+/** Properties of a route that differ from the defaults. */
+type RouteOverrides = Partial<CatalogRoute> &
+  Pick<CatalogRoute, 'address' | 'port'>;
 
-/** A route of one service, by default without regions, urgency or limits of time. */
-export function createRoute(service: string, part: RoutePart): CatalogRoute {
+/** Creates a route to one service without regions, priority or time limits by default. */
+export function createRoute(
+  service: string,
+  overrides: RouteOverrides,
+): CatalogRoute {
   return {
     shares: [{service, weight: 1}],
     repeatable: false,
@@ -17,15 +21,15 @@
     priority: 0,
     targetMs: Infinity,
     limitMs: Infinity,
-    ...part,
+    ...overrides,
   };
 }
 
-/** A warm server of two slots that takes new flows, at an address of its own. */
+/** Creates a ready, warm server with two slots; its address is the number in its id. */
 export function createServer(
   id: string,
   service: string,
-  part: Partial<CatalogServer> = {},
+  overrides: Partial<CatalogServer> = {},
 ): CatalogServer {
   return {
     id,
@@ -39,6 +43,6 @@
     createdRevision: 1,
     revision: 1,
     startTime: 0,
-    ...part,
+    ...overrides,
   };
 }
--- a/standins/catalog-store.ts
+++ b/standins/catalog-store.ts
@@ -1,6 +1,6 @@
 /**
- * A store that publishes routes and servers, in memory: revisions, waits for
- * events, history that is forgotten, and outages for some or all daemons.
+ * In-memory store of routes and backend servers with revisions, event watches, history
+ * compaction, stale reads, and outages for some or all daemons.
  */
 import {ResultAsync, err, ok, type Result} from 'neverthrow';
 import type {
@@ -21,25 +21,27 @@
 import type {Clock} from '../src/ports/clock.js';
 import type {MemoryLinks} from './memory-links.js';
 
-/** Time of an answer, in milliseconds, as the users' store takes. */
-const ANSWER_MS = 4;
-/** Time after which a call to a silent store ends a whole read, in milliseconds. */
-const SILENCE_LIMIT_MS = 1_000;
-const OLD_READ = 'old read';
+const RESPONSE_LATENCY_MS = 4;
+/** Time after which a read fails when the store does not respond. */
+const READ_TIMEOUT_MS = 1_000;
+const STALE_READ = 'stale read';
 
-/** How a call ends while the store is out of reach. */
+/** How calls fail during an outage. */
 export const OutageKind = {
+  /** No response until the call's deadline. */
   SILENT: 'silent',
+  /** The connection is refused. */
   REFUSED: 'refused',
+  /** The store rejects the call. */
   BUSY: 'busy',
 } as const;
 /** One of the kinds in `OutageKind`. */
 export type OutageKind = (typeof OutageKind)[keyof typeof OutageKind];
 
-/** What the store held until a moment. */
-interface LeftState {
+/** Content of the store before a change. */
+interface PastState {
   readonly reading: CatalogReading;
-  /** Monotonic milliseconds. */
+  /** Time of the change, in monotonic milliseconds. */
   readonly until: number;
 }
 
@@ -50,34 +52,33 @@
   readonly unreadable?: UnreadableEntry;
   readonly removed?: string;
   readonly domain?: DomainChange;
-  readonly kept?: true;
+  readonly isSnapshotWrite?: true;
 }
 
-/** The store; daemons reach it through sources. */
+/** The store, which daemons access through a `MemoryCatalogSource` each. */
 export class CatalogStore {
-  /** Reads of the newest and waits that arrived, refused ones included. */
+  /** Linearizable reads, writes and watches received, including rejected ones. */
   calls = 0;
-  /** Old reads that arrived, which cost a tenth. */
+  /** Stale reads received, including rejected ones. */
   oldReads = 0;
-  /** Outages by the daemon that they meet; '' meets all. */
+  /** Outages by the name of the affected daemon; '' affects all. */
   readonly outages = new Map<string, OutageKind>();
-  /** How far old reads lie back, in milliseconds. */
+  /** Age of the state that stale reads return, in milliseconds. */
   lagMs = 1_000;
-  /** Milliseconds until an answer leaves. */
-  answerMs = ANSWER_MS;
-  /** The copy that daemons keep for daemons that start. */
+  answerMs = RESPONSE_LATENCY_MS;
+  /** Catalog snapshot that daemons write for daemons that start. */
   snapshot: CatalogSnapshot | undefined;
   private revision = 1;
   private routes: RouteListing | undefined;
   private readonly servers = new Map<string, CatalogServer>();
-  /** Entries that another writer has written over. */
-  private readonly spoiled = new Map<string, UnreadableEntry>();
+  /** Entries overwritten with unreadable data, by server id. */
+  private readonly unreadable = new Map<string, UnreadableEntry>();
   private readonly evacuated = new Set<string>();
   private events: StoredEvent[] = [];
-  private forgottenUpTo = 0;
-  private readonly waiting = new Set<() => void>();
-  /** States that were left of late, the newest last. */
-  private left: LeftState[] = [];
+  private compactedRevision = 0;
+  private readonly waiters = new Set<() => void>();
+  /** States within the lag of stale reads, the newest last. */
+  private pastStates: PastState[] = [];
 
   private constructor(readonly clock: Clock) {}
 
@@ -88,49 +89,49 @@
 
   /** Publishes a version of the routes. */
   putRoutes(routes: RouteListing): void {
-    this.keepOld();
+    this.retainState();
     this.revision += 1;
     this.routes = routes;
-    this.note({revision: this.revision, routes});
+    this.appendEvent({revision: this.revision, routes});
   }
 
-  /** Writes a server's entry. */
+  /** Writes a server's entry and returns it with its revisions. */
   putServer(
     server: Omit<CatalogServer, 'revision' | 'createdRevision'>,
   ): CatalogServer {
-    this.keepOld();
+    this.retainState();
     this.revision += 1;
     const known = this.servers.get(server.id);
     const {revision} = this;
     const createdRevision = known?.createdRevision ?? revision;
     const written = {...server, revision, createdRevision};
     this.servers.set(server.id, written);
-    this.spoiled.delete(server.id);
-    this.note({revision, written});
+    this.unreadable.delete(server.id);
+    this.appendEvent({revision, written});
     return written;
   }
 
-  /** Has another writer write what cannot be read under a server's key. */
+  /** Overwrites a server's entry with unreadable data. */
   spoilServer(id: string): void {
-    this.keepOld();
+    this.retainState();
     this.revision += 1;
     const {revision} = this;
     const unreadable = {id, revision, cause: 'noise'};
-    this.spoiled.set(id, unreadable);
-    this.note({revision, unreadable});
+    this.unreadable.set(id, unreadable);
+    this.appendEvent({revision, unreadable});
   }
 
   /** Removes a server's entry. */
   removeServer(id: string): void {
-    this.keepOld();
-    const isSpoiled = this.spoiled.delete(id);
+    this.retainState();
+    const isSpoiled = this.unreadable.delete(id);
     if (this.servers.delete(id) || isSpoiled) {
       this.revision += 1;
-      this.note({revision: this.revision, removed: id});
+      this.appendEvent({revision: this.revision, removed: id});
     }
   }
 
-  /** Keeps a copy in place of the one that was written at a revision. */
+  /** Replaces the snapshot if it is at `expectedRevision` (0: there is none). */
   writeSnapshot(
     bytes: Uint8Array,
     expectedRevision: number,
@@ -139,60 +140,62 @@
     if (known !== expectedRevision) {
       return {isDone: false, revision: known};
     }
-    this.keepOld();
+    this.retainState();
     this.revision += 1;
     this.snapshot = {bytes, revision: this.revision};
-    this.note({revision: this.revision, kept: true});
+    this.appendEvent({revision: this.revision, isSnapshotWrite: true});
     return {isDone: true, revision: this.revision};
   }
 
-  /** Evacuates a failure domain, whether servers are there or not. */
+  /** Evacuates a createFailure domain, which may have no servers. */
   evacuate(failureDomain: string): void {
     this.changeDomain({failureDomain, isEvacuated: true});
   }
 
-  /** Restores a failure domain. */
+  /** Ends the evacuation of a createFailure domain. */
   restore(failureDomain: string): void {
     this.changeDomain({failureDomain, isEvacuated: false});
   }
 
-  /** The entry of a server. */
-  serverOf(id: string): CatalogServer | undefined {
+  /** Returns the last readable entry of a server; undefined: none. */
+  findServer(id: string): CatalogServer | undefined {
     return this.servers.get(id);
   }
 
-  /** Forgets all events up to now. */
+  /** Discards the history of events; watches of earlier revisions fail. */
   forgetHistory(): void {
-    this.forgottenUpTo = this.revision;
+    this.compactedRevision = this.revision;
     this.events = [];
-    this.wake();
+    this.notifyWaiters();
   }
 
-  /** What a daemon's call meets now. */
+  /** Returns the outage that affects a daemon now; undefined: none. */
   outageOf(daemon: string): OutageKind | undefined {
     return this.outages.get(daemon) ?? this.outages.get('');
   }
 
-  /** Everything as it is now. */
+  /** Returns the current content. */
   read(): CatalogReading {
     const {revision, routes} = this;
     const servers = [...this.servers.values()].filter(
-      ({id}) => !this.spoiled.has(id),
+      ({id}) => !this.unreadable.has(id),
     );
-    const unreadable = [...this.spoiled.values()];
+    const unreadable = [...this.unreadable.values()];
     const evacuated = [...this.evacuated];
     return {routes, servers: {revision, servers, unreadable, evacuated}};
   }
 
-  /** Everything as it was `lagMs` ago. */
+  /** Returns the content as of `staleReadLagMs` ago. */
   readStale(): CatalogReading {
     const at = this.clock.now() - this.lagMs;
-    return this.left.find(({until}) => until > at)?.reading ?? this.read();
+    return (
+      this.pastStates.find(({until}) => until > at)?.reading ?? this.read()
+    );
   }
 
-  /** Events after a revision; undefined when they are no longer kept. */
+  /** Returns the events after a revision; undefined: they were compacted. */
   eventsAfter(revision: number): CatalogEvents | undefined {
-    if (revision < this.forgottenUpTo) {
+    if (revision < this.compactedRevision) {
       return undefined;
     }
     const events = this.events.filter(event => event.revision > revision);
@@ -205,65 +208,66 @@
         removed === undefined ? [] : [{id: removed, revision: at}],
       ),
       domains: events.flatMap(({domain}) => domain ?? []),
-      snapshotRevision: events.filter(({kept}) => kept).pop()?.revision,
+      snapshotRevision: events.filter(({isSnapshotWrite: kept}) => kept).pop()
+        ?.revision,
     };
   }
 
-  /** Calls a task with the next event. */
+  /** Runs a task at the next event; returns a function that cancels it. */
   onNext(task: () => void): () => void {
-    this.waiting.add(task);
-    return () => this.waiting.delete(task);
+    this.waiters.add(task);
+    return () => this.waiters.delete(task);
   }
 
   private changeDomain(domain: DomainChange): void {
-    this.keepOld();
+    this.retainState();
     this.revision += 1;
     if (domain.isEvacuated) {
       this.evacuated.add(domain.failureDomain);
     } else {
       this.evacuated.delete(domain.failureDomain);
     }
-    this.note({revision: this.revision, domain});
+    this.appendEvent({revision: this.revision, domain});
   }
 
-  /** Keeps the state that a change is about to end. */
-  private keepOld(): void {
+  /** Retains the current state for stale reads, before a change. */
+  private retainState(): void {
     const now = this.clock.now();
-    this.left = this.left.filter(({until}) => until > now - this.lagMs);
-    this.left.push({reading: this.read(), until: now});
+    this.pastStates = this.pastStates.filter(
+      ({until}) => until > now - this.lagMs,
+    );
+    this.pastStates.push({reading: this.read(), until: now});
   }
 
-  private note(event: StoredEvent): void {
+  private appendEvent(event: StoredEvent): void {
     this.events.push(event);
-    this.wake();
+    this.notifyWaiters();
   }
 
-  private wake(): void {
-    const tasks = [...this.waiting];
-    this.waiting.clear();
+  private notifyWaiters(): void {
+    const tasks = [...this.waiters];
+    this.waiters.clear();
     tasks.forEach(task => task());
   }
 }
 
-/** What one route and one server take in an answer of the store, in bytes. */
+/** Encoded size of a route and of a server in a response. */
 const ROUTE_BYTES = 220;
 const SERVER_BYTES = 330;
-/** Name of the store's link. */
+/** Name of the store in `MemoryLinks`. */
 export const STORE_LINK = 'store';
 
-/** How long an answer with a reading is, in bytes. */
-function sizeOf({routes, servers}: CatalogReading): number {
+function computeReadingBytes({routes, servers}: CatalogReading): number {
   const routeCount = routes?.routes.length ?? 0;
   return routeCount * ROUTE_BYTES + servers.servers.length * SERVER_BYTES;
 }
 
-/** How long an answer with events is, in bytes. */
-function sizeOfEvents({routes, written}: CatalogEvents): number {
+function computeEventsBytes({routes, written}: CatalogEvents): number {
   const routeCount = routes?.routes.length ?? 0;
   return routeCount * ROUTE_BYTES + written.length * SERVER_BYTES;
 }
 
-/** One daemon's way to the store. */
+/** Catalog source port of one daemon. */
 export class MemoryCatalogSource extends CatalogSource {
   private isClosed = false;
 
@@ -277,7 +281,7 @@
     super();
   }
 
-  /** Creates a source; `clock` and `link` are the daemon's. */
+  /** Creates a source; `clock` and `link` belong to the daemon. */
   static create(
     daemon: string,
     store: CatalogStore,
@@ -289,32 +293,32 @@
   }
 
   readAll(deadline: number): ResultAsync<CatalogReading, SourceFailure> {
-    const limit = Math.min(deadline, this.clock.now() + SILENCE_LIMIT_MS);
-    const call = this.call('read', limit, async () => ok(this.store.read()));
+    const limit = Math.min(deadline, this.clock.now() + READ_TIMEOUT_MS);
+    const call = this.invoke('read', limit, async () => ok(this.store.read()));
     return new ResultAsync(call).andThen(reading =>
-      this.transfer(reading, sizeOf(reading)),
+      this.transfer(reading, computeReadingBytes(reading)),
     );
   }
 
   readStale(deadline: number): ResultAsync<CatalogReading, SourceFailure> {
-    const limit = Math.min(deadline, this.clock.now() + SILENCE_LIMIT_MS);
-    const call = this.call(OLD_READ, limit, async () =>
+    const limit = Math.min(deadline, this.clock.now() + READ_TIMEOUT_MS);
+    const call = this.invoke(STALE_READ, limit, async () =>
       ok(this.store.readStale()),
     );
     return new ResultAsync(call).andThen(reading =>
-      this.transfer(reading, sizeOf(reading)),
+      this.transfer(reading, computeReadingBytes(reading)),
     );
   }
 
   readSnapshot(
     deadline: number,
   ): ResultAsync<CatalogSnapshot | undefined, SourceFailure> {
-    const limit = Math.min(deadline, this.clock.now() + SILENCE_LIMIT_MS);
-    const call = this.call(OLD_READ, limit, async () =>
+    const limit = Math.min(deadline, this.clock.now() + READ_TIMEOUT_MS);
+    const call = this.invoke(STALE_READ, limit, async () =>
       ok(this.store.snapshot),
     );
-    return new ResultAsync(call).andThen(copy =>
-      this.transfer(copy, copy?.bytes.length ?? 0),
+    return new ResultAsync(call).andThen(snapshot =>
+      this.transfer(snapshot, snapshot?.bytes.length ?? 0),
     );
   }
 
@@ -325,7 +329,7 @@
   ): ResultAsync<SnapshotWriteOutcome, SourceFailure> {
     const write = async () =>
       ok(this.store.writeSnapshot(bytes, expectedRevision));
-    return new ResultAsync(this.call('keep', deadline, write));
+    return new ResultAsync(this.invoke('write snapshot', deadline, write));
   }
 
   awaitEvents(
@@ -334,19 +338,19 @@
   ): ResultAsync<CatalogEvents, SourceFailure> {
     const wait = async (): Promise<Result<CatalogEvents, SourceFailure>> => {
       const now = this.store.eventsAfter(revision);
-      const isNews = now === undefined || now.revision > revision;
-      if (!isNews) {
-        await this.nextEventOr(deadline);
+      const hasEvents = now === undefined || now.revision > revision;
+      if (!hasEvents) {
+        await this.waitForNextEvent(deadline);
       }
       const events = this.store.eventsAfter(revision);
       return events === undefined
-        ? err(failure(SourceFailureKind.HISTORY_LOST, 'wait'))
+        ? err(createFailure(SourceFailureKind.HISTORY_LOST, 'watch'))
         : ok(events);
     };
-    // The call itself may take a little longer than the wait.
-    const call = this.call('wait', deadline + 400, wait);
+    // Leaves time for the response after the wait for an event ends.
+    const call = this.invoke('watch', deadline + 400, wait);
     return new ResultAsync(call).andThen(events =>
-      this.transfer(events, sizeOfEvents(events)),
+      this.transfer(events, computeEventsBytes(events)),
     );
   }
 
@@ -354,61 +358,62 @@
     this.isClosed = true;
   }
 
-  /** Has an answer go over the links; it is read for as long as its bytes come. */
+  /** Resolves with a response once its bytes have arrived over the links. */
   private transfer<T>(answer: T, bytes: number): ResultAsync<T, SourceFailure> {
     const {links, link, clock} = this;
-    const arrival = links.arrivalOf(STORE_LINK, link, bytes, clock.now());
+    const arrival = links.transmit(STORE_LINK, link, bytes, clock.now());
     const sleep = this.sleepUntil(arrival).then(() => ok(answer));
     return new ResultAsync<T, SourceFailure>(sleep);
   }
 
-  private nextEventOr(deadline: number): Promise<void> {
+  private waitForNextEvent(deadline: number): Promise<void> {
     return new Promise(resolve => {
-      const forget = this.store.onNext(() => resolve());
+      const cancel = this.store.onNext(() => resolve());
       this.clock.callAt(deadline, () => {
-        forget();
+        cancel();
         resolve();
       });
     });
   }
 
-  /** A call that meets an outage at its start or at its end has no answer. */
-  private async call<T>(
+  /** Makes a call, which fails if there is an outage at its start or at its end. */
+  private async invoke<T>(
     name: string,
     deadline: number,
     run: () => Promise<Result<T, SourceFailure>>,
   ): Promise<Result<T, SourceFailure>> {
-    if (name === OLD_READ) {
+    if (name === STALE_READ) {
       this.store.oldReads += 1;
     } else {
       this.store.calls += 1;
     }
-    const before = await this.meetOutage<T>(name, deadline);
-    if (before !== undefined) {
-      return before;
+    const failureAtStart = await this.applyOutage<T>(name, deadline);
+    if (failureAtStart !== undefined) {
+      return failureAtStart;
     }
     const result = await run();
     await this.sleepUntil(this.clock.now() + this.store.answerMs);
     if (this.clock.now() > deadline) {
-      return err(failure(SourceFailureKind.SILENT, name));
+      return err(createFailure(SourceFailureKind.SILENT, name));
     }
-    return (await this.meetOutage<T>(name, deadline)) ?? result;
+    return (await this.applyOutage<T>(name, deadline)) ?? result;
   }
 
-  private async meetOutage<T>(
+  /** Fails a call as the current outage demands; undefined: there is none. */
+  private async applyOutage<T>(
     name: string,
     deadline: number,
   ): Promise<Result<T, SourceFailure> | undefined> {
     const outage = this.store.outageOf(this.daemon);
     if (this.isClosed || outage === OutageKind.REFUSED) {
-      return err(failure(SourceFailureKind.DISCONNECTED, name));
+      return err(createFailure(SourceFailureKind.DISCONNECTED, name));
     }
     if (outage === OutageKind.BUSY) {
-      return err(failure(SourceFailureKind.UNAVAILABLE, name));
+      return err(createFailure(SourceFailureKind.UNAVAILABLE, name));
     }
     if (outage === OutageKind.SILENT) {
       await this.sleepUntil(deadline);
-      return err(failure(SourceFailureKind.SILENT, name));
+      return err(createFailure(SourceFailureKind.SILENT, name));
     }
     return undefined;
   }
@@ -420,6 +425,6 @@
   }
 }
 
-function failure(kind: SourceFailureKind, call: string): SourceFailure {
+function createFailure(kind: SourceFailureKind, call: string): SourceFailure {
   return SourceFailure.create(kind, call, kind);
 }
--- a/standins/cookie-caller-fleet.ts
+++ b/standins/cookie-caller-fleet.ts
@@ -1,28 +1,28 @@
-/** All callers of a platform whose packets carry cookies, one flow each. */
+/** Manages the callers of a simulated or emulated platform, which have one flow each. */
 import type {CatalogRoute} from '../src/catalog/records.js';
 import type {Clock} from '../src/ports/clock.js';
 import type {CookiePacket} from '../src/ports/cookie-fabric.js';
 import {CookieCaller, type CallEnd} from './cookie-callers.js';
 
-/** The lowest port that callers use; those below are the system's. */
+/** The lowest port above the system ports. */
 const FIRST_PORT = 1_024;
-/** Callers after which ports are used again. */
-const PORTS = 60_000;
+/** Number of source ports, which are used in turn. */
+const PORT_COUNT = 60_000;
 
-/** What a fleet of callers is made from. */
+/** Options of a fleet of callers. */
 export interface CookieCallerFleetOptions {
   readonly clock: Clock;
-  /** IPv4 address of the first caller, as a number. */
+  /** Lowest source address: IPv4, as a number. */
   readonly firstAddress: number;
-  /** Addresses that callers have in turn. */
+  /** Number of source addresses, which are used in turn. */
   readonly addresses: number;
-  /** Takes what a caller sends to the fabric. */
+  /** Sends a packet of a caller to the fabric. */
   send(packet: CookiePacket): void;
-  /** Told of a caller's end; `startedAt` is monotonic milliseconds. */
+  /** Called when a call ends; `startedAt` is in monotonic milliseconds. */
   onEnd(end: CallEnd, startedAt: number): void;
 }
 
-/** The callers of one emulated platform. */
+/** The callers of one platform. */
 export class CookieCallerFleet {
   private readonly callers = new Map<string, CookieCaller>();
   private count = 0;
@@ -35,13 +35,13 @@
   }
 
   /**
-   * Starts a caller that gives up `limitMs` from now; it has some requests, with a pause
-   * after each answer.
+   * Starts a caller that sends `requests` requests on one flow, each `pauseMs` after the
+   * answer to the one before, and gives up after `timeoutMs`.
    */
   start(
     route: CatalogRoute,
     requests: number,
-    limitMs: number,
+    timeoutMs: number,
     pauseMs = 0,
   ): CookieCaller {
     this.count += 1;
@@ -50,12 +50,12 @@
     const caller = CookieCaller.create({
       clock,
       sourceAddress: firstAddress + (this.count % addresses),
-      sourcePort: FIRST_PORT + (this.count % PORTS),
+      sourcePort: FIRST_PORT + (this.count % PORT_COUNT),
       destinationAddress: route.address,
       destinationPort: route.port,
       requests,
       pauseMs,
-      deadline: startedAt + limitMs,
+      deadline: startedAt + timeoutMs,
       send: packet => this.options.send(packet),
       onEnd: end => this.options.onEnd(end, startedAt),
     });
@@ -63,12 +63,12 @@
     return caller;
   }
 
-  /** The caller of a flow, whether the flow has ended or not. */
+  /** Returns the caller of a flow, ended or not. */
   find(flow: string): CookieCaller | undefined {
     return this.callers.get(flow);
   }
 
-  /** Id of the server that opened a flow; undefined when none has. */
+  /** Returns the id of the server that accepted a flow; undefined: none has. */
   serverOf(flow: string): string | undefined {
     return this.callers.get(flow)?.server;
   }
--- a/standins/cookie-callers.ts
+++ b/standins/cookie-callers.ts
@@ -1,43 +1,41 @@
 /**
- * Callers of a fabric with cookies, in memory: openings sent again after 200 and
- * 600 ms, data sent again with growing pauses, several requests on one flow, and
- * tries on a new flow where a request surely did not run.
+ * A simulated caller of a fabric with cookies: opens one flow, sends requests on it one
+ * after the other, and retransmits openings and requests that are not answered.
  */
 import type {Clock, Timer} from '../src/ports/clock.js';
 import type {CookiePacket} from '../src/ports/cookie-fabric.js';
 import type {ServerPacket} from './cookie-servers.js';
 
-/** Times after the first opening at which copies are sent, in milliseconds. */
-const COPY_AFTER_MS: readonly number[] = [200, 600];
-/** Time after which an opening is given up, in milliseconds. */
-const OPENING_LIMIT_MS = 1_400;
-/** First pause before data is sent again, in milliseconds; doubles. */
-const RESEND_MS = 200;
-const LONGEST_RESEND_MS = 1_600;
-const DATA_LENGTH = 100;
+/** Times after the first opening packet at which copies of it are sent. */
+const OPENING_RETRANSMIT_DELAYS_MS: readonly number[] = [200, 600];
+const OPENING_TIMEOUT_MS = 1_400;
+/** Time to the first retransmission of a request; it doubles with each further one. */
+const INITIAL_RETRANSMIT_MS = 200;
+const MAXIMUM_RETRANSMIT_MS = 1_600;
+const REQUEST_BYTES = 100;
 
-/** How a request ended. */
+/** How a call ended. */
 export const CallEnd = {
   ANSWERED: 'answered',
-  /** The flow was reset by its server, or never opened. */
+  /** The flow was reset by its server, or was never opened. */
   REFUSED: 'refused',
-  /** The flow was open and a reset came that its server had not sent. */
-  CUT: 'cut',
+  /** A daemon reset the open flow. */
+  RESET_BY_DAEMON: 'cut',
   TIMED_OUT: 'timed-out',
 } as const;
-/** One of the ends in `CallEnd`. */
+/** One of the values of `CallOutcome`. */
 export type CallEnd = (typeof CallEnd)[keyof typeof CallEnd];
 
-/** What a caller is made from. */
+/** Options of a caller. */
 export interface CallerOptions {
   readonly clock: Clock;
   readonly sourceAddress: number;
   readonly sourcePort: number;
   readonly destinationAddress: number;
   readonly destinationPort: number;
-  /** Requests on the flow, one after the other. */
+  /** Number of requests on the flow. */
   readonly requests: number;
-  /** Time from an answer to the next request, in milliseconds; undefined: none. */
+  /** Time from an answer to the next request, in milliseconds; undefined: 0. */
   readonly pauseMs?: number;
   /** Monotonic milliseconds at which the caller gives up. */
   readonly deadline: number;
@@ -45,54 +43,56 @@
   onEnd(end: CallEnd, caller: CookieCaller): void;
 }
 
-/** One flow of one caller. */
+/** One caller with its flow. */
 export class CookieCaller {
   readonly flow: string;
-  /** The server that opened the flow. */
+  /** Id of the server that accepted the flow; undefined: none has. */
   server: string | undefined;
   answers = 0;
-  /** Whether a request is under way, or was when the flow ended. */
+  /** Whether a request is unanswered, or was when the flow ended. */
   isWaiting = false;
   /** How the flow ended; undefined while it is open. */
   ending: CallEnd | undefined;
-  /** How many requests the server has confirmed. */
-  private confirmed = 0;
+  /** Number of requests up to the last one that the server acknowledged. */
+  private acknowledgedCount = 0;
   private cookie = 0;
-  private isOver = false;
+  private hasEnded = false;
   private readonly timers: Timer[] = [];
 
   private constructor(readonly options: CallerOptions) {
     this.flow = flowName(options);
   }
 
-  /** Creates a caller and sends its opening. */
+  /** Creates a caller and sends its opening packet. */
   static create(options: CallerOptions): CookieCaller {
     const caller = new CookieCaller(options);
     caller.start();
     return caller;
   }
 
-  /** Takes what a server sent. */
+  /** Handles a packet of a server. */
   receive(packet: ServerPacket): void {
-    if (this.isOver) {
+    if (this.hasEnded) {
       return;
     }
     this.cookie = packet.cookie;
     if (packet.kind === 'reset') {
-      this.takeReset(packet.server);
+      this.handleServerReset(packet.server);
     } else if (packet.kind === 'opened') {
-      this.takeOpened(packet.server);
+      this.handleOpened(packet.server);
     } else if (packet.server === this.server && packet.kind === 'received') {
-      this.confirmed = this.answers + 1;
+      this.acknowledgedCount = this.answers + 1;
     } else if (packet.server === this.server) {
-      this.takeAnswer();
+      this.handleAnswer();
     }
   }
 
-  /** Takes a reset of a daemon. */
+  /** Handles a reset sent by a daemon. */
   receiveReset(): void {
-    if (!this.isOver) {
-      this.end(this.server === undefined ? CallEnd.REFUSED : CallEnd.CUT);
+    if (!this.hasEnded) {
+      this.finish(
+        this.server === undefined ? CallEnd.REFUSED : CallEnd.RESET_BY_DAEMON,
+      );
     }
   }
 
@@ -100,71 +100,75 @@
     const {clock} = this.options;
     const now = clock.now();
     this.sendOpening(0);
-    COPY_AFTER_MS.forEach((after, index) =>
-      this.at(now + after, () => {
+    OPENING_RETRANSMIT_DELAYS_MS.forEach((delay, index) =>
+      this.schedule(now + delay, () => {
         if (this.server === undefined) {
           this.sendOpening(index + 1);
         }
       }),
     );
-    this.at(now + OPENING_LIMIT_MS, () => {
+    this.schedule(now + OPENING_TIMEOUT_MS, () => {
       if (this.server === undefined) {
-        this.end(CallEnd.REFUSED);
+        this.finish(CallEnd.REFUSED);
       }
     });
-    this.at(this.options.deadline, () => this.end(CallEnd.TIMED_OUT));
+    this.schedule(this.options.deadline, () => this.finish(CallEnd.TIMED_OUT));
   }
 
-  /** A server that the caller did not take up resets what it does not hold. */
-  private takeReset(server: string): void {
+  /** Ignores resets of other servers than the one that accepted the flow. */
+  private handleServerReset(server: string): void {
     if (this.server === undefined || this.server === server) {
-      this.end(CallEnd.REFUSED);
+      this.finish(CallEnd.REFUSED);
     }
   }
 
-  private takeOpened(server: string): void {
+  private handleOpened(server: string): void {
     if (this.server !== undefined) {
       return;
     }
     this.server = server;
     this.send({dataLength: 0});
-    this.sendRequest(RESEND_MS, this.answers);
+    this.sendRequest(INITIAL_RETRANSMIT_MS, this.answers);
   }
 
-  private takeAnswer(): void {
+  private handleAnswer(): void {
     this.answers += 1;
     this.isWaiting = false;
     if (this.answers < this.options.requests) {
       this.send({dataLength: 0});
-      this.sendNext();
+      this.sendNextRequest();
       return;
     }
     this.send({dataLength: 0, closes: true});
-    this.end(CallEnd.ANSWERED);
+    this.finish(CallEnd.ANSWERED);
   }
 
-  private sendNext(): void {
+  private sendNextRequest(): void {
     const {clock, pauseMs = 0} = this.options;
     const request = this.answers;
     if (pauseMs === 0) {
-      this.sendRequest(RESEND_MS, request);
+      this.sendRequest(INITIAL_RETRANSMIT_MS, request);
     } else {
-      this.at(clock.now() + pauseMs, () =>
-        this.sendRequest(RESEND_MS, request),
+      this.schedule(clock.now() + pauseMs, () =>
+        this.sendRequest(INITIAL_RETRANSMIT_MS, request),
       );
     }
   }
 
-  /** Sends a request, and again until it is confirmed or its answer comes. */
+  /** Sends a request, and retransmits it until it is acknowledged or answered. */
   private sendRequest(pauseMs: number, request: number): void {
-    if (this.isOver || this.answers > request || this.confirmed > request) {
+    if (
+      this.hasEnded ||
+      this.answers > request ||
+      this.acknowledgedCount > request
+    ) {
       return;
     }
     this.isWaiting = true;
-    this.send({dataLength: DATA_LENGTH});
+    this.send({dataLength: REQUEST_BYTES});
     const {clock} = this.options;
-    this.at(clock.now() + pauseMs, () =>
-      this.sendRequest(Math.min(pauseMs * 2, LONGEST_RESEND_MS), request),
+    this.schedule(clock.now() + pauseMs, () =>
+      this.sendRequest(Math.min(pauseMs * 2, MAXIMUM_RETRANSMIT_MS), request),
     );
   }
 
@@ -172,7 +176,7 @@
     this.send({opens: true, openCopy, dataLength: 0});
   }
 
-  private send(part: Partial<CookiePacket>): void {
+  private send(fields: Partial<CookiePacket>): void {
     const {sourceAddress, sourcePort} = this.options;
     const {destinationAddress, destinationPort} = this.options;
     this.options.send({
@@ -183,23 +187,23 @@
       opens: false,
       closes: false,
       resets: false,
-      cookie: part.opens === true ? 0 : this.cookie,
-      sequence: this.answers * DATA_LENGTH,
-      acknowledged: this.answers * DATA_LENGTH + 1,
+      cookie: fields.opens === true ? 0 : this.cookie,
+      sequence: this.answers * REQUEST_BYTES,
+      acknowledged: this.answers * REQUEST_BYTES + 1,
       openCopy: 0,
       dataLength: 0,
       bytes: new Uint8Array(0),
-      ...part,
+      ...fields,
     });
   }
 
-  private at(deadline: number, task: () => void): void {
+  private schedule(deadline: number, task: () => void): void {
     this.timers.push(this.options.clock.callAt(deadline, task));
   }
 
-  private end(end: CallEnd): void {
-    if (!this.isOver) {
-      this.isOver = true;
+  private finish(end: CallEnd): void {
+    if (!this.hasEnded) {
+      this.hasEnded = true;
       this.ending = end;
       this.timers.forEach(timer => timer.cancel());
       this.options.onEnd(end, this);
@@ -207,7 +211,7 @@
   }
 }
 
-/** Names a flow by its four addresses and ports. */
+/** Formats the source and destination of a flow as its name. */
 export function flowName(
   flow: Pick<
     CookiePacket,
--- a/standins/cookie-packets.ts
+++ b/standins/cookie-packets.ts
@@ -1,8 +1,8 @@
-/** Packets of callers for tests. */
+/** Creates caller packets for tests. */
 import type {CookiePacket} from '../src/ports/cookie-fabric.js';
 
-/** A later packet of one caller without data, but for what `part` says. */
-export function createPacket(part: Partial<CookiePacket>): CookiePacket {
+/** Creates a packet without data on an open flow; `fields` overrides its properties. */
+export function createPacket(fields: Partial<CookiePacket>): CookiePacket {
   return {
     sourceAddress: 1,
     sourcePort: 1_000,
@@ -17,6 +17,6 @@
     openCopy: 0,
     dataLength: 0,
     bytes: new Uint8Array(0),
-    ...part,
+    ...fields,
   };
 }
--- a/standins/cookie-server-fleet.ts
+++ b/standins/cookie-server-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * All backend servers of a platform whose packets carry cookies: their entries
- * in the store, the addresses that they hold one after the other, and their ends.
+ * Manages the backend servers of a simulated or emulated platform: their store entries,
+ * the reuse of their addresses, drains, restarts and crashes.
  */
 import {ServerState, type CatalogServer} from '../src/catalog/records.js';
 import type {Clock} from '../src/ports/clock.js';
@@ -10,38 +10,38 @@
 import {CookieServer, type ServerPacket} from './cookie-servers.js';
 import type {PromiseJudge} from './promise-judge.js';
 
-/** What is published of a new server that is ready. */
+/** Store entry of a server to start. */
 export type NewServer = Omit<
   CatalogServer,
   'state' | 'revision' | 'createdRevision'
 >;
 
-/** How a server works on requests. */
+/** How a server processes requests. */
 export interface ServerWorkPlan {
-  /** Milliseconds that one request takes. */
+  /** Processing time of a request, in milliseconds. */
   readonly workMs: number;
-  /** Requests that wait while all slots are taken. */
+  /** Requests that may be queued while all slots are busy; further ones are dropped. */
   readonly queueLength: number;
-  /** Whether it confirms requests before it answers them; undefined: no. */
+  /** Whether it acknowledges requests before it answers them; undefined: no. */
   readonly confirms?: boolean;
 }
 
-/** What a fleet of servers is made from. */
+/** Options of a fleet of servers. */
 export interface CookieServerFleetOptions {
   readonly store: CatalogStore;
   readonly judge: PromiseJudge;
   readonly clock: Clock;
-  /** Takes what a server sends to a caller. */
+  /** Sends a packet of a server to its caller. */
   send(packet: ServerPacket): void;
-  /** Calls a task after some time, in milliseconds. */
+  /** Runs a task after some time. */
   later(milliseconds: number, task: () => void): void;
 }
 
-/** The servers of one emulated platform. */
+/** The backend servers of one platform. */
 export class CookieServerFleet {
   private readonly servers = new Map<string, CookieServer>();
-  /** The newest server at each address. */
-  private readonly occupants = new Map<number, CookieServer>();
+  /** The latest server at each address. */
+  private readonly serversByAddress = new Map<number, CookieServer>();
 
   private constructor(private readonly options: CookieServerFleetOptions) {}
 
@@ -50,11 +50,11 @@
     return new CookieServerFleet(options);
   }
 
-  /** Starts a server, also at the address of one that has ended. */
+  /** Starts a server, which takes over its address from a server before it. */
   start(published: NewServer, plan: ServerWorkPlan): CookieServer {
     const {store, clock, judge} = this.options;
     const entry = store.putServer({...published, state: ServerState.READY});
-    judge.noteStarted(entry.id);
+    judge.recordServerStart(entry.id);
     const server = CookieServer.create({
       entry,
       clock,
@@ -62,32 +62,32 @@
       send: packet => this.options.send(packet),
     });
     this.servers.set(entry.id, server);
-    this.occupants.set(entry.address, server);
+    this.serversByAddress.set(entry.address, server);
     return server;
   }
 
   /**
-   * Has a server start again under its id, which knows nothing of before, at an address
-   * of its own choice.
+   * Restarts a server under its id without its former flows, with a new start time and
+   * address.
    */
   restart(
     former: CookieServer,
-    part: {startTime: number; address: number},
+    changes: {startTime: number; address: number},
     plan: ServerWorkPlan,
   ): CookieServer {
     former.crash(true);
-    if (this.occupants.get(former.entry.address) === former) {
-      this.occupants.delete(former.entry.address);
+    if (this.serversByAddress.get(former.entry.address) === former) {
+      this.serversByAddress.delete(former.entry.address);
     }
-    return this.start({...former.entry, ...part}, plan);
+    return this.start({...former.entry, ...changes}, plan);
   }
 
-  /** The server of an id, whether it runs or not. */
+  /** Returns the latest server with an id, running or not. */
   find(id: string): CookieServer | undefined {
     return this.servers.get(id);
   }
 
-  /** Servers of a service that neither drain nor have ended. */
+  /** Lists servers of a service that are neither draining nor crashed. */
   live(service: string): CookieServer[] {
     return [...this.servers.values()].filter(
       ({entry, hasCrashed, state}) =>
@@ -95,31 +95,31 @@
     );
   }
 
-  /** Has a server drain, and end `afterMs` later. */
+  /** Starts draining a server, which terminates `afterMs` later. */
   drain(server: CookieServer, afterMs: number): void {
     const {store, judge} = this.options;
     server.state = ServerState.DRAINING;
     store.putServer({...server.entry, state: ServerState.DRAINING});
-    judge.noteDraining(server.entry.id);
+    judge.recordDrainStart(server.entry.id);
     this.options.later(afterMs, () => {
       server.crash(false);
       this.removeEntry(server);
     });
   }
 
-  /** Silences a server that lives on, for a while; its entry stays. */
-  pause(server: CookieServer, forMs: number): void {
+  /** Makes a server unresponsive for a while; its flows and its entry stay. */
+  pause(server: CookieServer, durationMs: number): void {
     server.setSilent(true);
-    this.options.later(forMs, () => server.setSilent(server.hasCrashed));
+    this.options.later(durationMs, () => server.setSilent(server.hasCrashed));
   }
 
-  /** Ends a server unplanned; its entry lapses `lapseMs` later. */
-  crash(server: CookieServer, silent: boolean, lapseMs: number): void {
-    server.crash(silent);
-    this.options.later(lapseMs, () => this.removeEntry(server));
+  /** Crashes a server; its store entry expires `entryTtlMs` later. */
+  crash(server: CookieServer, isSilent: boolean, entryTtlMs: number): void {
+    server.crash(isSilent);
+    this.options.later(entryTtlMs, () => this.removeEntry(server));
   }
 
-  /** Removes a server's entry, unless it is that of a later run by now. */
+  /** Removes a server's entry, unless the server has restarted since. */
   private removeEntry(server: CookieServer): void {
     const {id} = server.entry;
     if (this.servers.get(id) === server) {
@@ -127,25 +127,25 @@
     }
   }
 
-  /** Whether the host at an address answers; one without a server refuses. */
-  answersAt(address: number): boolean {
-    return this.occupants.get(address)?.isSilent !== true;
+  /** Whether the host at an address responds, if only by refusing connections. */
+  isHostResponsive(address: number): boolean {
+    return this.serversByAddress.get(address)?.isSilent !== true;
   }
 
-  /** Hands a packet to whoever is at an address now; `meant` is a server's id. */
+  /** Delivers a packet for the server `targetId` to the server at an address. */
   deliver(
     packet: CookiePacket,
     address: number,
-    meant: string,
+    targetId: string,
     cookie: number,
   ): void {
     const {judge} = this.options;
-    const server = this.occupants.get(address);
-    if (server === undefined || server.entry.id !== meant) {
-      judge.judgeStray(packet, meant);
+    const server = this.serversByAddress.get(address);
+    if (server === undefined || server.entry.id !== targetId) {
+      judge.checkMisroutedPacket(packet, targetId);
       return;
     }
-    judge.judgeArrival(packet, server);
+    judge.checkArrival(packet, server);
     server.receive(flowName(packet), packet, cookie);
   }
 }
--- a/standins/cookie-servers.ts
+++ b/standins/cookie-servers.ts
@@ -1,48 +1,48 @@
 /**
- * Backend servers behind a fabric with cookies, in memory: slots and a queue,
- * flows that only the server which opened them knows, crashes and new runs.
+ * A simulated backend server behind a fabric with cookies: accepts flows, processes
+ * requests in slots with a bounded queue, and may be paused or crash.
  */
 import type {CookiePacket} from '../src/ports/cookie-fabric.js';
 import {ServerState, type CatalogServer} from '../src/catalog/records.js';
 import type {Clock} from '../src/ports/clock.js';
 
-/** What a server sends to a caller. */
+/** A packet from a server to a caller. */
 export interface ServerPacket {
   readonly flow: string;
   readonly server: string;
   readonly kind: 'opened' | 'received' | 'answer' | 'reset';
-  /** The cookie that the server got last. */
+  /** Cookie of the packet that this one responds to. */
   readonly cookie: number;
 }
 
-/** What a server is made from. */
+/** Options of a server. */
 export interface CookieServerOptions {
   readonly entry: CatalogServer;
   readonly clock: Clock;
-  /** Milliseconds that one request takes. */
+  /** Processing time of a request, in milliseconds. */
   readonly workMs: number;
   readonly queueLength: number;
-  /** Whether it confirms requests before it answers them; undefined: no. */
+  /** Whether it acknowledges requests before it answers them; undefined: no. */
   readonly confirms?: boolean;
   send(packet: ServerPacket): void;
 }
 
-/** One run of a server. */
+/** One incarnation of a server. */
 export class CookieServer {
-  /** Silent servers answer nothing, as one without power. */
+  /** Whether it drops all packets and answers. */
   isSilent = false;
-  /** When it last came back from a silence; monotonic milliseconds. */
+  /** When it last became responsive again, in monotonic milliseconds. */
   resumedAt = -Infinity;
-  /** A crashed server forgets its flows and refuses openings. */
+  /** Whether it has crashed: it has lost its flows and rejects new ones. */
   hasCrashed = false;
   state: ServerState = ServerState.READY;
-  private busy = 0;
+  private busySlots = 0;
   private readonly queue: (() => void)[] = [];
   private readonly flows = new Set<string>();
 
   private constructor(private readonly options: CookieServerOptions) {}
 
-  /** Creates a server that runs. */
+  /** Creates a running server. */
   static create(options: CookieServerOptions): CookieServer {
     return new CookieServer(options);
   }
@@ -52,27 +52,27 @@
   }
 
   /** Whether a flow is open here. */
-  holds(flow: string): boolean {
+  hasFlow(flow: string): boolean {
     return this.flows.has(flow) && !this.hasCrashed;
   }
 
-  /** Takes a packet that was meant for this run. */
+  /** Handles a packet for this incarnation. */
   receive(flow: string, packet: CookiePacket, cookie: number): void {
     if (this.isSilent) {
       return;
     }
     if (packet.opens) {
-      this.open(flow, cookie);
-    } else if (!this.holds(flow)) {
+      this.openFlow(flow, cookie);
+    } else if (!this.hasFlow(flow)) {
       this.reply(flow, 'reset', cookie);
     } else if (packet.closes) {
       this.flows.delete(flow);
     } else if (packet.dataLength > 0) {
-      this.admit(flow, cookie);
+      this.acceptRequest(flow, cookie);
     }
   }
 
-  /** Falls silent with all that it holds, as behind a cut, or comes back. */
+  /** Makes it unresponsive or responsive; its flows stay. */
   setSilent(isSilent: boolean): void {
     this.isSilent = isSilent;
     if (!isSilent) {
@@ -80,15 +80,15 @@
     }
   }
 
-  /** Ends the run; what was under way is lost. */
-  crash(silent: boolean): void {
+  /** Ends the incarnation; pending requests are lost. */
+  crash(isSilent: boolean): void {
     this.hasCrashed = true;
-    this.isSilent = silent;
+    this.isSilent = isSilent;
     this.flows.clear();
     this.queue.length = 0;
   }
 
-  private open(flow: string, cookie: number): void {
+  private openFlow(flow: string, cookie: number): void {
     if (this.hasCrashed) {
       this.reply(flow, 'reset', cookie);
       return;
@@ -97,27 +97,27 @@
     this.reply(flow, 'opened', cookie);
   }
 
-  private admit(flow: string, cookie: number): void {
+  private acceptRequest(flow: string, cookie: number): void {
     const {entry, queueLength, confirms} = this.options;
-    const run = () => this.run(flow, cookie);
-    const isFree = this.busy < entry.slots;
-    const isTaken = isFree || this.queue.length < queueLength;
-    if (isTaken && confirms === true) {
+    const run = () => this.processRequest(flow, cookie);
+    const isFree = this.busySlots < entry.slots;
+    const isAccepted = isFree || this.queue.length < queueLength;
+    if (isAccepted && confirms === true) {
       this.reply(flow, 'received', cookie);
     }
     if (isFree) {
       run();
-    } else if (isTaken) {
+    } else if (isAccepted) {
       this.queue.push(run);
     }
   }
 
-  private run(flow: string, cookie: number): void {
+  private processRequest(flow: string, cookie: number): void {
     const {clock, workMs} = this.options;
-    this.busy += 1;
+    this.busySlots += 1;
     clock.callAt(clock.now() + workMs, () => {
-      this.busy -= 1;
-      if (this.holds(flow) && !this.isSilent) {
+      this.busySlots -= 1;
+      if (this.hasFlow(flow) && !this.isSilent) {
         this.reply(flow, 'answer', cookie);
       }
       this.queue.shift()?.();
--- a/standins/fake-clock.ts
+++ b/standins/fake-clock.ts
@@ -1,10 +1,10 @@
-/** A clock that moves only when told, for tests and in-memory experiments. */
+/** Virtual clocks for tests and in-memory experiments. */
 import {Clock, type Timer} from '../src/ports/clock.js';
 
 const START_MS = 1_000_000;
 const WALL_OFFSET_MS = 1_700_000_000_000;
-/** Rounds of the microtask queue that let chains of promises finish. */
-const TURNS = 12;
+/** Microtask rounds run after each timer; longer promise chains complete later. */
+const MICROTASK_ROUNDS = 12;
 
 interface PendingCall {
   readonly deadline: number;
@@ -12,7 +12,7 @@
   readonly task: () => void;
 }
 
-/** Virtual time; timers run in the order of their deadlines. */
+/** A clock that only `advance` moves; timers run in the order of their deadlines. */
 export class FakeClock extends Clock {
   private nowMs = START_MS;
   private order = 0;
@@ -45,15 +45,15 @@
     this.insert(call);
     return {
       cancel: () => {
-        const place = this.pending.indexOf(call);
-        if (place >= 0) {
-          this.pending.splice(place, 1);
+        const index = this.pending.indexOf(call);
+        if (index >= 0) {
+          this.pending.splice(index, 1);
         }
       },
     };
   }
 
-  /** Moves time on; every timer due by then runs, and so do its promises. */
+  /** Advances the time; runs each timer that comes due, and its promise callbacks. */
   async advance(milliseconds: number): Promise<void> {
     const end = this.nowMs + milliseconds;
     await this.settle();
@@ -66,9 +66,9 @@
     this.nowMs = end;
   }
 
-  /** Lets promises that are ready run their course. */
+  /** Runs pending promise callbacks. */
   async settle(): Promise<void> {
-    for (let turn = 0; turn < TURNS; turn += 1) {
+    for (let round = 0; round < MICROTASK_ROUNDS; round += 1) {
       await Promise.resolve();
     }
   }
@@ -89,15 +89,15 @@
   }
 }
 
-/** The clock of one process that can be frozen; its timers wait meanwhile. */
+/** Clock of one process; while it is frozen, timers that come due are held. */
 export class ProcessClock extends Clock {
-  private held: (() => void)[] | undefined;
+  private heldCalls: (() => void)[] | undefined;
 
   private constructor(private readonly base: FakeClock) {
     super();
   }
 
-  /** Creates a process's clock over the common one. */
+  /** Creates a process clock on the shared virtual clock. */
   static create(base: FakeClock): ProcessClock {
     return new ProcessClock(base);
   }
@@ -116,10 +116,10 @@
       if (cancelled) {
         return;
       }
-      if (this.held === undefined) {
+      if (this.heldCalls === undefined) {
         task();
       } else {
-        this.held.push(run);
+        this.heldCalls.push(run);
       }
     };
     const timer = this.base.callAt(deadline, run);
@@ -133,13 +133,13 @@
 
   /** Holds all timers that come due. */
   freeze(): void {
-    this.held = this.held ?? [];
+    this.heldCalls = this.heldCalls ?? [];
   }
 
-  /** Runs the timers that were held. */
+  /** Ends the freeze and runs the held timers. */
   thaw(): void {
-    const held = this.held ?? [];
-    this.held = undefined;
+    const held = this.heldCalls ?? [];
+    this.heldCalls = undefined;
     held.forEach(run => run());
   }
 }
--- a/standins/memory-channel.ts
+++ b/standins/memory-channel.ts
@@ -1,4 +1,7 @@
-/** Beats and pulls between daemons in one process, with cuts to order. */
+/**
+ * In-memory fleet channel: heartbeats and pulls between daemons in one process, over a
+ * network whose paths tests can block.
+ */
 import {ResultAsync, err, ok, type Result} from 'neverthrow';
 import {Beat, CatalogUpdate} from '../src/generated/catalog.js';
 import type {Clock} from '../src/ports/clock.js';
@@ -11,18 +14,18 @@
 import type {Random} from '../src/routing/random.js';
 import {MemoryLinks} from './memory-links.js';
 
-/** One way between two daemons, in milliseconds. */
-const WAY_MS = 1;
+/** Latency between two daemons. */
+const ONE_WAY_LATENCY_MS = 1;
 
-/** All daemons that can reach each other. */
+/** The network between all daemons of a simulated platform. */
 export class ChannelNetwork {
-  /** Ways that are cut, as "from>to" of addresses. */
-  readonly cut = new Set<string>();
-  /** Share of beats that are lost. */
+  /** Blocked paths, as "from>to" with IPv4 addresses as numbers. */
+  readonly blockedPaths = new Set<string>();
+  /** Fraction of heartbeats that are lost. */
   loss = 0;
-  /** Messages and bytes that were sent. */
-  readonly sent = {beats: 0, pulls: 0, bytes: 0};
-  /** Links of the daemons, by their addresses as text. */
+  /** Counts of messages and bytes sent. */
+  readonly sent = {heartbeats: 0, pulls: 0, bytes: 0};
+  /** Links of the daemons, named by their addresses in decimal. */
   readonly links = MemoryLinks.create();
   private readonly handlers = new Map<number, FleetHandlers>();
 
@@ -41,25 +44,28 @@
     this.handlers.set(address, handlers);
   }
 
-  /** Takes a daemon away. */
+  /** Disconnects a daemon. */
   detach(address: number): void {
     this.handlers.delete(address);
   }
 
-  /** The handlers that `from` reaches at `to` now. */
-  reach(from: number, to: number): FleetHandlers | undefined {
+  /** Returns the handlers at `to` for a call from `from`; undefined: unreachable. */
+  findReachablePeer(from: number, to: number): FleetHandlers | undefined {
     const open =
-      !this.cut.has(`${from}>${to}`) && !this.cut.has(`${to}>${from}`);
+      !this.blockedPaths.has(`${from}>${to}`) &&
+      !this.blockedPaths.has(`${to}>${from}`);
     return open ? this.handlers.get(to) : undefined;
   }
 
-  /** Whether a one-way message gets through now. */
-  passes(from: number, to: number): boolean {
-    return !this.cut.has(`${from}>${to}`) && !this.random.happens(this.loss);
+  /** Decides whether a datagram is delivered or lost. */
+  isDelivered(from: number, to: number): boolean {
+    return (
+      !this.blockedPaths.has(`${from}>${to}`) && !this.random.happens(this.loss)
+    );
   }
 
-  /** The handlers of a daemon, whatever is cut. */
-  handlersOf(address: number): FleetHandlers | undefined {
+  /** Returns the handlers of a daemon, also behind blocked paths. */
+  findHandlers(address: number): FleetHandlers | undefined {
     return this.handlers.get(address);
   }
 }
@@ -74,7 +80,7 @@
     super();
   }
 
-  /** Creates a channel; `clock` is the daemon's. */
+  /** Creates a channel; `clock` belongs to the daemon. */
   static create(
     address: number,
     network: ChannelNetwork,
@@ -87,18 +93,18 @@
     this.network.attach(this.address, handlers);
   }
 
-  /** Beats travel as bytes, so that nothing is shared between daemons. */
+  /** Sends the heartbeat encoded, so that daemons share no objects. */
   sendHeartbeat(address: number, beat: Beat): void {
     const {network} = this;
     const bytes = Beat.encode(beat).finish();
-    network.sent.beats += 1;
+    network.sent.heartbeats += 1;
     network.sent.bytes += bytes.length;
-    if (!network.passes(this.address, address)) {
+    if (!network.isDelivered(this.address, address)) {
       return;
     }
-    network.clock.callAt(network.clock.now() + WAY_MS, () => {
+    network.clock.callAt(network.clock.now() + ONE_WAY_LATENCY_MS, () => {
       network
-        .handlersOf(address)
+        .findHandlers(address)
         ?.onHeartbeat(this.address, Beat.decode(bytes));
     });
   }
@@ -117,25 +123,30 @@
     deadline: number,
   ): Promise<Result<CatalogUpdate, PeerUnavailable>> {
     const {network, clock} = this;
-    // The connection, then the question.
-    await this.sleepUntil(clock.now() + 2 * WAY_MS);
-    const peer = network.reach(this.address, address);
+    // One way for the connection and one for the request.
+    await this.sleepUntil(clock.now() + 2 * ONE_WAY_LATENCY_MS);
+    const peer = network.findReachablePeer(this.address, address);
     if (peer === undefined) {
       await this.sleepUntil(deadline);
-      return err(PeerUnavailable.create(String(address), 'not reached'));
+      return err(PeerUnavailable.create(String(address), 'unreachable'));
     }
     const bytes = CatalogUpdate.encode(peer.onPull(held)).finish();
     network.sent.pulls += 1;
     network.sent.bytes += bytes.length;
-    const arrival = network.links.arrivalOf(
+    const arrival = network.links.transmit(
       String(address),
       String(this.address),
       bytes.length,
       clock.now(),
     );
-    await this.sleepUntil(Math.min(deadline, arrival + WAY_MS));
+    await this.sleepUntil(Math.min(deadline, arrival + ONE_WAY_LATENCY_MS));
     return arrival > deadline
-      ? err(PeerUnavailable.create(String(address), 'slow'))
+      ? err(
+          PeerUnavailable.create(
+            String(address),
+            'response did not arrive before the deadline',
+          ),
+        )
       : ok(CatalogUpdate.decode(bytes));
   }
 
--- a/standins/memory-contact.ts
+++ b/standins/memory-contact.ts
@@ -1,39 +1,40 @@
-/** Attempts to reach the servers of a world in memory. */
+/** In-memory contact port between a daemon and the servers of a simulated platform. */
 import type {Clock} from '../src/ports/clock.js';
 import {ContactResult, ServerContact} from '../src/ports/server-contact.js';
 
-/** A round trip to a server, in milliseconds. */
 const ROUND_TRIP_MS = 2;
-/** Shares of the time at which connections are begun. */
-const BEGIN_SHARES: readonly number[] = [0, 0.4, 0.8];
+/** Fractions of the time to the deadline at which connection attempts start. */
+const ATTEMPT_TIME_FRACTIONS: readonly number[] = [0, 0.4, 0.8];
 
 type Server = Parameters<ServerContact['reach']>[0];
 
-/** The contact of one daemon. */
+/** Contact port of one daemon. */
 export class MemoryContact extends ServerContact {
   private constructor(
     private readonly clock: Clock,
-    private readonly answers: (server: Server) => boolean,
+    private readonly isResponsive: (server: Server) => boolean,
   ) {
     super();
   }
 
-  /** Creates a contact; `answers` says whether a server's host answers. */
+  /** Creates a contact; `isResponsive` tells whether the host of a server responds. */
   static create(
     clock: Clock,
-    answers: (server: Server) => boolean,
+    isResponsive: (server: Server) => boolean,
   ): MemoryContact {
-    return new MemoryContact(clock, answers);
+    return new MemoryContact(clock, isResponsive);
   }
 
   async reach(server: Server, deadline: number): Promise<ContactResult> {
-    const begin = this.clock.now();
-    const times = BEGIN_SHARES.map(share => begin + (deadline - begin) * share);
-    return this.reachAt(times, server, deadline);
+    const start = this.clock.now();
+    const times = ATTEMPT_TIME_FRACTIONS.map(
+      fraction => start + (deadline - start) * fraction,
+    );
+    return this.tryAtTimes(times, server, deadline);
   }
 
-  /** Tries at the first of some times, and then at the others. */
-  private async reachAt(
+  /** Attempts contact at each of the times until one succeeds. */
+  private async tryAtTimes(
     times: readonly number[],
     server: Server,
     deadline: number,
@@ -43,8 +44,8 @@
     if (next === undefined) {
       return ContactResult.SILENT;
     }
-    if (!this.answers(server)) {
-      return this.reachAt(later, server, deadline);
+    if (!this.isResponsive(server)) {
+      return this.tryAtTimes(later, server, deadline);
     }
     await this.sleepUntil(this.clock.now() + ROUND_TRIP_MS);
     return ContactResult.REACHED;
--- a/standins/memory-links.ts
+++ b/standins/memory-links.ts
@@ -1,18 +1,17 @@
 /**
- * Links of a world in memory: what goes through one waits for what went before. A link
- * without a rate takes no time.
+ * Models the network links of a simulated platform as FIFO queues with a rate. A link
+ * without a rate has no transmission time.
  */
 
-const BITS_A_BYTE = 8;
-/** Megabits a second in bits a millisecond. */
-const BITS_A_MILLISECOND = 1_000;
+const BITS_PER_BYTE = 8;
+const BITS_PER_MS_PER_MBPS = 1_000;
 
-/** The links of all instances and of the store, by name. */
+/** Links of all instances and of the store, by name. */
 export class MemoryLinks {
   private readonly ratesMbps = new Map<string, number>();
-  /** Until when each direction is busy; monotonic milliseconds. */
+  /** End of the transmissions queued in each direction, in monotonic milliseconds. */
   private readonly busyUntil = new Map<string, number>();
-  /** Bytes that went out of each link. */
+  /** Bytes sent by each link. */
   readonly sentBytes = new Map<string, number>();
 
   private constructor() {}
@@ -22,21 +21,21 @@
     return new MemoryLinks();
   }
 
-  /** Sets what a link carries in each direction, in megabits a second. */
-  setRate(name: string, megabits: number): void {
-    this.ratesMbps.set(name, megabits);
+  /** Sets the rate of a link in each direction. */
+  setRate(name: string, rateMbps: number): void {
+    this.ratesMbps.set(name, rateMbps);
   }
 
-  /** When bytes that leave now have arrived; monotonic milliseconds. */
-  arrivalOf(from: string, to: string, bytes: number, now: number): number {
+  /** Queues bytes on both links; returns their arrival time in monotonic milliseconds. */
+  transmit(from: string, to: string, bytes: number, now: number): number {
     this.sentBytes.set(from, (this.sentBytes.get(from) ?? 0) + bytes);
     return Math.max(
-      this.occupy(from, 'out', bytes, now),
-      this.occupy(to, 'in', bytes, now),
+      this.reserve(from, 'out', bytes, now),
+      this.reserve(to, 'in', bytes, now),
     );
   }
 
-  private occupy(
+  private reserve(
     name: string,
     direction: 'in' | 'out',
     bytes: number,
@@ -47,8 +46,8 @@
       return now;
     }
     const key = `${name}/${direction}`;
-    const begin = Math.max(now, this.busyUntil.get(key) ?? now);
-    const end = begin + (bytes * BITS_A_BYTE) / (rate * BITS_A_MILLISECOND);
+    const start = Math.max(now, this.busyUntil.get(key) ?? now);
+    const end = start + (bytes * BITS_PER_BYTE) / (rate * BITS_PER_MS_PER_MBPS);
     this.busyUntil.set(key, end);
     return end;
   }
--- a/standins/memory-log.ts
+++ b/standins/memory-log.ts
@@ -1,7 +1,7 @@
-/** A log that keeps its lines, for tests. */
+/** In-memory log whose entries tests inspect. */
 import {Log, type LogFields} from '../src/ports/log.js';
 
-/** One line as it was logged. */
+/** A log entry with its level and the process that wrote it. */
 export interface LoggedLine {
   readonly process: string;
   readonly level: string;
@@ -9,7 +9,7 @@
   readonly fields: LogFields;
 }
 
-/** Log of one process into a list that several share. */
+/** Log of one process; several processes may append to one list. */
 export class MemoryLog extends Log {
   private constructor(
     private readonly process: string,
@@ -18,28 +18,28 @@
     super();
   }
 
-  /** Creates a log that appends to `lines`. */
-  static create(process: string, lines: LoggedLine[] = []): MemoryLog {
-    return new MemoryLog(process, lines);
+  /** Creates a log that appends to `entries`. */
+  static create(process: string, entries: LoggedLine[] = []): MemoryLog {
+    return new MemoryLog(process, entries);
   }
 
   error(event: string, fields: LogFields = {}): void {
-    this.put('error', event, fields);
+    this.append('error', event, fields);
   }
 
   warn(event: string, fields: LogFields = {}): void {
-    this.put('warn', event, fields);
+    this.append('warn', event, fields);
   }
 
   info(event: string, fields: LogFields = {}): void {
-    this.put('info', event, fields);
+    this.append('info', event, fields);
   }
 
   debug(event: string, fields: LogFields = {}): void {
-    this.put('debug', event, fields);
+    this.append('debug', event, fields);
   }
 
-  private put(level: string, event: string, fields: LogFields): void {
+  private append(level: string, event: string, fields: LogFields): void {
     this.lines.push({process: this.process, level, event, fields});
   }
 }
--- a/standins/packet-router.ts
+++ b/standins/packet-router.ts
@@ -1,30 +1,34 @@
 /**
- * The router before the daemons, as much of it as an emulated platform needs: it
- * checks readiness and gives each flow to one of the daemons that are in.
+ * Model of the platform's router, for the simulated and the emulated platform: takes
+ * daemons in and out of service by readiness checks, and distributes flows by hash.
  */
 import type {Hasher} from '../src/ports/hasher.js';
 
-/** Checks in a row that a daemon must miss to be taken out. */
-const MISSES_BEFORE_OUT = 2;
-/** Sets the router's hashes apart from those of the daemons. */
-const FLOW_SEED = 5;
+/** Consecutive failed checks that take a daemon out of service. */
+const FAILURES_BEFORE_REMOVAL = 2;
+/** Makes the router's hashes independent of the daemons' hashes. */
+const FLOW_HASH_SEED = 5;
 
-/** A daemon as the router sees it. */
+/** The router's state of a daemon. */
 export interface CheckedDaemon {
   readonly name: string;
-  /** Checks missed in a row. */
+  /** Readiness checks failed in a row. */
   misses: number;
-  /** Whether it gets packets. */
+  /** Whether the router sends it packets. */
   isIn: boolean;
 }
 
-/** Notes the outcome of one readiness check. */
+/** Records the result of a readiness check. */
 export function noteCheck(daemon: CheckedDaemon, ready: boolean): void {
   daemon.misses = ready ? 0 : daemon.misses + 1;
-  daemon.isIn = ready || (daemon.isIn && daemon.misses < MISSES_BEFORE_OUT);
+  daemon.isIn =
+    ready || (daemon.isIn && daemon.misses < FAILURES_BEFORE_REMOVAL);
 }
 
-/** The daemon of a flow among those that are in, by a hash of the flow. */
+/**
+ * Selects the daemon of a flow among those in service by rendezvous hashing; undefined:
+ * none is in service.
+ */
 export function chooseDaemon<T extends CheckedDaemon>(
   daemons: readonly T[],
   flow: string,
@@ -34,7 +38,7 @@
     .filter(({isIn}) => isIn)
     .map(daemon => ({
       daemon,
-      score: hasher.hashText(`${daemon.name}/${flow}`, FLOW_SEED),
+      score: hasher.hashText(`${daemon.name}/${flow}`, FLOW_HASH_SEED),
     }))
     .sort((a, b) => b.score - a.score);
   return chosen?.daemon;
--- a/standins/platform-faults.ts
+++ b/standins/platform-faults.ts
@@ -1,97 +1,100 @@
-/** Faults of an emulated platform, drawn by number, that end by themselves. */
+/** Faults that tests inject into a simulated platform. */
 import type {CatalogRoute} from '../src/catalog/records.js';
 import {OutageKind} from './catalog-store.js';
 import type {SimulatedPlatform} from './simulated-platform.js';
 
-/** One fault; which daemon or server it strikes is a number, whatever there are. */
+/** A generated fault. */
 export interface PlatformFault {
   readonly kind: string;
+  /** Selects a daemon or server, modulo how many there are. */
   readonly which: number;
-  /** How long it lasts, in milliseconds. */
+  /** Duration of the fault, in milliseconds. */
   readonly lastsMs: number;
-  /** Time since the fault before, in milliseconds. */
+  /** Delay after the previous fault, in milliseconds. */
   readonly afterMs: number;
 }
 
-/**
- * Brings a fault about and has it end by itself; `routes` are the two that are
- * published at first.
- */
+/** Injects a fault and schedules its end; `routes` are the two published initially. */
 export function injectFault(
-  world: SimulatedPlatform,
+  platform: SimulatedPlatform,
   fault: PlatformFault,
   routes: readonly [CatalogRoute, CatalogRoute],
 ): void {
   const [first] = routes;
-  const names = [...world.daemons.keys()];
+  const names = [...platform.daemons.keys()];
   const name = names[fault.which % names.length];
-  const later = (task: () => void) =>
-    world.clock.callAt(world.clock.now() + fault.lastsMs, task);
-  const servers = world.liveServers(fault.which % 3 === 0 ? 'docs' : 'pay');
+  const runAfterDuration = (task: () => void) =>
+    platform.clock.callAt(platform.clock.now() + fault.lastsMs, task);
+  const servers = platform.liveServers(fault.which % 3 === 0 ? 'docs' : 'pay');
   const server = servers[fault.which % Math.max(1, servers.length)];
-  const spare = servers.length > 1;
-  const strikes: Record<string, () => void> = {
+  const hasSpareServer = servers.length > 1;
+  const actions: Record<string, () => void> = {
     kill: () => {
-      world.killDaemon(name);
-      later(() => void world.startDaemon(name));
+      platform.killDaemon(name);
+      runAfterDuration(() => void platform.startDaemon(name));
     },
-    stop: () => void world.stopDaemon(name).then(() => world.startDaemon(name)),
+    stop: () =>
+      void platform.stopDaemon(name).then(() => platform.startDaemon(name)),
     'cut-peers': () => {
-      world.cutFromPeers(name, true);
-      later(() => world.cutFromPeers(name, false));
+      platform.cutFromPeers(name, true);
+      runAfterDuration(() => platform.cutFromPeers(name, false));
     },
     'cut-store': () => {
-      world.store.outages.set(name, OutageKind.SILENT);
-      later(() => world.store.outages.delete(name));
+      platform.store.outages.set(name, OutageKind.SILENT);
+      runAfterDuration(() => platform.store.outages.delete(name));
     },
     'store-down': () => {
-      world.store.outages.set('', OutageKind.REFUSED);
-      later(() => world.store.outages.delete(''));
+      platform.store.outages.set('', OutageKind.REFUSED);
+      runAfterDuration(() => platform.store.outages.delete(''));
     },
     'store-slow': () => {
-      world.store.answerMs = 300;
-      later(() => {
-        world.store.answerMs = 4;
+      platform.store.answerMs = 300;
+      runAfterDuration(() => {
+        platform.store.answerMs = 4;
       });
     },
-    forget: () => world.store.forgetHistory(),
+    forget: () => platform.store.forgetHistory(),
     drain: () => {
-      if (spare) {
-        world.drainServer(server, 4_000);
-        world.startServer(server.entry.service);
+      if (hasSpareServer) {
+        platform.drainServer(server, 4_000);
+        platform.startServer(server.entry.service);
       }
     },
     crash: () => {
-      if (spare) {
-        world.crashServer(server, fault.lastsMs % 2 === 0, 2_300);
+      if (hasSpareServer) {
+        platform.crashServer(server, fault.lastsMs % 2 === 0, 2_300);
       }
     },
-    pause: () => world.pauseServer(server, fault.lastsMs),
+    pause: () => platform.pauseServer(server, fault.lastsMs),
     'cut-servers': () => {
-      world.cutFromServers.add(name);
-      later(() => world.cutFromServers.delete(name));
+      platform.cutFromServers.add(name);
+      runAfterDuration(() => platform.cutFromServers.delete(name));
     },
     reuse: () => {
-      if (spare) {
-        world.crashServer(server, true, 2_300);
+      if (hasSpareServer) {
+        platform.crashServer(server, true, 2_300);
         const other = server.entry.service === 'pay' ? 'docs' : 'pay';
-        later(() => world.startServer(other, server.entry.address));
+        runAfterDuration(() =>
+          platform.startServer(other, server.entry.address),
+        );
       }
     },
-    restart: () => void world.restartServer(server),
-    move: () => void world.moveServer(server),
+    restart: () => void platform.restartServer(server),
+    move: () => void platform.moveServer(server),
     spoil: () => {
-      world.spoilEntry(server);
-      later(() => world.mendEntry(world.serverOf(server.entry.id) ?? server));
+      platform.spoilEntry(server);
+      runAfterDuration(() =>
+        platform.mendEntry(platform.serverOf(server.entry.id) ?? server),
+      );
     },
-    add: () => void world.startServer('pay'),
+    add: () => void platform.startServer('pay'),
     evacuate: () => {
       const {failureDomain} = server.entry;
-      world.evacuate(failureDomain);
-      later(() => world.restore(failureDomain));
+      platform.evacuate(failureDomain);
+      runAfterDuration(() => platform.restore(failureDomain));
     },
     routes: () =>
-      world.publish(world.publishedRoutes.length > 1 ? [first] : routes),
+      platform.publish(platform.publishedRoutes.length > 1 ? [first] : routes),
   };
-  strikes[fault.kind]();
+  actions[fault.kind]();
 }
--- a/standins/promise-judge.ts
+++ b/standins/promise-judge.ts
@@ -1,6 +1,6 @@
 /**
- * Checks daemons against what they promise, from what servers and callers of a
- * fabric with cookies see.
+ * Checks the invariants that daemons guarantee, from what servers and callers of a fabric
+ * with cookies observe. The simulated and the emulated platform use it.
  */
 import type {CatalogRoute, CatalogServer} from '../src/catalog/records.js';
 import type {Clock} from '../src/ports/clock.js';
@@ -9,23 +9,23 @@
 import type {CookieServer} from './cookie-servers.js';
 import {flowName} from './cookie-callers.js';
 
-/**
- * Time after a silence in which a server's flows may be reset, in milliseconds: the
- * shortest after which the users hold machines to their promises again.
- */
-const DISTURBED_MS = 4_000;
+/** Time after a server responds again in which daemons may still reset its flows. */
+const RESUME_GRACE_MS = 4_000;
 
-/** Stray packets of one flow from which a flow counts as broken. */
-const STRAY_LIMIT = 3;
+/** Consecutive misrouted packets at which a flow counts as broken. */
+const MISROUTED_PACKET_LIMIT = 3;
 
-/** Bounds that daemons are held to, in milliseconds. */
-export interface PromiseBounds {
+/**
+ * Time in which new flows must stop after the start of a drain, the removal of a route,
+ * and an evacuation.
+ */
+export interface InvariantBounds {
   readonly drainMs: number;
   readonly configurationMs: number;
   readonly evacuationMs: number;
 }
 
-/** A promise that was seen broken. */
+/** A violated invariant; `promise` names which one. */
 export interface BrokenPromise {
   readonly promise:
     'route' | 'drain' | 'configuration' | 'evacuation' | 'flow' | 'reset';
@@ -33,99 +33,108 @@
   readonly detail: string;
 }
 
-/** What a judge is made from. */
-export interface PromiseJudgeOptions {
+/** Options of an invariant checker. */
+export interface InvariantCheckerOptions {
   readonly clock: Clock;
-  readonly bounds: PromiseBounds;
-  /** The server at which a flow was opened, as its caller knows it. */
+  readonly bounds: InvariantBounds;
+  /** Returns the server that accepted a flow; undefined: none has. */
   ownerOf(flow: string): CookieServer | undefined;
 }
 
-/** Collects the promises that it sees broken. */
+/** Records the violations that it observes. */
 export class PromiseJudge {
   readonly broken: BrokenPromise[] = [];
-  private readonly strays = new Map<string, number>();
-  /** Services that any version gave to a destination. */
-  private readonly allowed = new Map<number, Set<string>>();
-  private readonly removedRoutes = new Map<number, number>();
-  private readonly drainingSince = new Map<string, number>();
-  private readonly evacuatedSince = new Map<string, number>();
+  private readonly misroutedPackets = new Map<string, number>();
+  /** Services that any published version routed a destination to. */
+  private readonly allowedServices = new Map<number, Set<string>>();
+  private readonly routeRemovedAt = new Map<number, number>();
+  private readonly drainStartedAt = new Map<string, number>();
+  private readonly evacuationStartedAt = new Map<string, number>();
   private routes: readonly CatalogRoute[] = [];
 
-  private constructor(private readonly options: PromiseJudgeOptions) {}
+  private constructor(private readonly options: InvariantCheckerOptions) {}
 
-  /** Creates a judge that has seen nothing. */
-  static create(options: PromiseJudgeOptions): PromiseJudge {
+  /** Creates a checker without observations. */
+  static create(options: InvariantCheckerOptions): PromiseJudge {
     return new PromiseJudge(options);
   }
 
-  /** Notes that a version of the routes was published now. */
+  /** Records that a version of the routes is published now. */
   notePublished(routes: readonly CatalogRoute[]): void {
-    const kept = new Set(routes.map(keyOf));
+    const kept = new Set(routes.map(routeKey));
     this.routes
-      .map(keyOf)
+      .map(routeKey)
       .filter(key => !kept.has(key))
-      .forEach(key => this.removedRoutes.set(key, this.options.clock.now()));
-    kept.forEach(key => this.removedRoutes.delete(key));
-    routes.forEach(route => this.allow(route));
+      .forEach(key => this.routeRemovedAt.set(key, this.options.clock.now()));
+    kept.forEach(key => this.routeRemovedAt.delete(key));
+    routes.forEach(route => this.addAllowedServices(route));
     this.routes = routes;
   }
 
-  /** Notes that a server began to drain now. */
-  noteDraining(server: string): void {
-    this.drainingSince.set(server, this.options.clock.now());
+  /** Records that a server starts to drain now. */
+  recordDrainStart(server: string): void {
+    this.drainStartedAt.set(server, this.options.clock.now());
   }
 
-  /** Notes that a server started, maybe again. */
-  noteStarted(server: string): void {
-    this.drainingSince.delete(server);
+  /** Records the start or restart of a server, which ends its drain. */
+  recordServerStart(server: string): void {
+    this.drainStartedAt.delete(server);
   }
 
-  /** Notes that a failure domain was evacuated now. */
+  /** Records that a failure domain is evacuated now. */
   noteEvacuated(failureDomain: string): void {
-    const since = this.evacuatedSince.get(failureDomain);
-    this.evacuatedSince.set(failureDomain, since ?? this.options.clock.now());
+    const since = this.evacuationStartedAt.get(failureDomain);
+    this.evacuationStartedAt.set(
+      failureDomain,
+      since ?? this.options.clock.now(),
+    );
   }
 
-  /** Notes that a failure domain was restored now. */
+  /** Records that the evacuation of a failure domain ends. */
   noteRestored(failureDomain: string): void {
-    this.evacuatedSince.delete(failureDomain);
+    this.evacuationStartedAt.delete(failureDomain);
   }
 
-  /** Checks a packet that reached the server it was meant for. */
-  judgeArrival(packet: CookiePacket, server: CookieServer): void {
+  /** Checks a packet that reached its target server. */
+  checkArrival(packet: CookiePacket, server: CookieServer): void {
     const {entry} = server;
     const key = destinationKey(
       packet.destinationAddress,
       packet.destinationPort,
     );
-    if (this.allowed.get(key)?.has(entry.service) !== true) {
-      this.note('route', `${flowName(packet)} reached ${entry.service}`);
+    if (this.allowedServices.get(key)?.has(entry.service) !== true) {
+      this.reportViolation(
+        'route',
+        `${flowName(packet)} reached ${entry.service}`,
+      );
     }
     if (packet.opens) {
-      this.judgeOpening(packet, entry, key);
-    } else if (!server.holds(flowName(packet))) {
-      this.judgeStray(packet, entry.id);
+      this.checkOpening(packet, entry, key);
+    } else if (!server.hasFlow(flowName(packet))) {
+      this.checkMisroutedPacket(packet, entry.id);
     } else {
-      this.strays.delete(flowName(packet));
+      this.misroutedPackets.delete(flowName(packet));
     }
   }
 
-  /** Checks a packet that went to another than its flow's server. */
-  judgeStray(packet: CookiePacket, server: string): void {
+  /** Checks a packet that was sent to a server which does not hold its flow. */
+  checkMisroutedPacket(packet: CookiePacket, server: string): void {
     const flow = flowName(packet);
     const owner = this.options.ownerOf(flow);
-    if (packet.opens || owner?.holds(flow) !== true) {
+    if (packet.opens || owner?.hasFlow(flow) !== true) {
       return;
     }
-    const count = (this.strays.get(flow) ?? 0) + 1;
-    this.strays.set(flow, count);
-    if (count === STRAY_LIMIT) {
-      this.note('flow', `${flow} of ${owner.entry.id} went to ${server}`);
+    const count = (this.misroutedPackets.get(flow) ?? 0) + 1;
+    this.misroutedPackets.set(flow, count);
+    if (count === MISROUTED_PACKET_LIMIT) {
+      this.reportViolation(
+        'flow',
+        `${flow} of ${owner.entry.id} was sent to ${server}`,
+      );
     }
   }
 
-  /** Checks a reset that a daemon sent to a flow's caller. */
+  /** Checks a reset that a daemon sent to the caller of a flow. */
   judgeReset(
     flow: string,
     destination: {address: number; port: number},
@@ -133,16 +142,20 @@
   ): void {
     const owner = this.options.ownerOf(flow);
     const key = destinationKey(destination.address, destination.port);
-    const isRouted = !this.removedRoutes.has(key);
-    const isDisturbed =
+    const isRouted = !this.routeRemovedAt.has(key);
+    const mayReset =
       owner?.isSilent === true ||
-      this.options.clock.now() - (owner?.resumedAt ?? -Infinity) < DISTURBED_MS;
-    if (owner?.holds(flow) === true && !isDisturbed && isRouted) {
-      this.note('reset', `${daemon} reset ${flow} of ${owner.entry.id}`);
+      this.options.clock.now() - (owner?.resumedAt ?? -Infinity) <
+        RESUME_GRACE_MS;
+    if (owner?.hasFlow(flow) === true && !mayReset && isRouted) {
+      this.reportViolation(
+        'reset',
+        `${daemon} reset ${flow} of ${owner.entry.id}`,
+      );
     }
   }
 
-  private judgeOpening(
+  private checkOpening(
     packet: CookiePacket,
     entry: CatalogServer,
     key: number,
@@ -150,32 +163,39 @@
     const now = this.options.clock.now();
     const {drainMs, configurationMs, evacuationMs} = this.options.bounds;
     const {id, failureDomain} = entry;
-    const evacuatedAt = this.evacuatedSince.get(failureDomain) ?? Infinity;
-    const drainedAt = this.drainingSince.get(id) ?? Infinity;
-    const removedAt = this.removedRoutes.get(key) ?? Infinity;
+    const evacuatedAt = this.evacuationStartedAt.get(failureDomain) ?? Infinity;
+    const drainedAt = this.drainStartedAt.get(id) ?? Infinity;
+    const removedAt = this.routeRemovedAt.get(key) ?? Infinity;
     if (now - drainedAt > drainMs) {
-      this.note('drain', `${flowName(packet)} opened at ${id}`);
+      this.reportViolation('drain', `${flowName(packet)} opened at ${id}`);
     }
     if (now - evacuatedAt > evacuationMs) {
-      this.note('evacuation', `${flowName(packet)} opened at ${id}`);
+      this.reportViolation('evacuation', `${flowName(packet)} opened at ${id}`);
     }
     if (now - removedAt > configurationMs) {
-      this.note('configuration', `${flowName(packet)} has no route any more`);
+      this.reportViolation(
+        'configuration',
+        `${flowName(packet)} has no route any more`,
+      );
     }
   }
 
-  private allow(route: CatalogRoute): void {
-    const services = this.allowed.get(keyOf(route)) ?? new Set<string>();
+  private addAllowedServices(route: CatalogRoute): void {
+    const services =
+      this.allowedServices.get(routeKey(route)) ?? new Set<string>();
     route.shares.forEach(({service}) => services.add(service));
-    this.allowed.set(keyOf(route), services);
+    this.allowedServices.set(routeKey(route), services);
   }
 
-  private note(promise: BrokenPromise['promise'], detail: string): void {
+  private reportViolation(
+    promise: BrokenPromise['promise'],
+    detail: string,
+  ): void {
     const atMs = this.options.clock.now();
     this.broken.push({promise, atMs, detail});
   }
 }
 
-function keyOf(route: CatalogRoute): number {
+function routeKey(route: CatalogRoute): number {
   return destinationKey(route.address, route.port);
 }
--- a/standins/simulated-fabric.ts
+++ b/standins/simulated-fabric.ts
@@ -1,4 +1,4 @@
-/** A fabric with cookies between one daemon and a world in memory. */
+/** Fabric port of one daemon in a simulated platform. */
 import type {CatalogServer} from '../src/catalog/records.js';
 import {
   CookieFabric,
@@ -6,16 +6,16 @@
   type CookiePacket,
 } from '../src/ports/cookie-fabric.js';
 
-/** The ways from daemons to servers and callers. */
-export interface PacketWays {
-  /** Hands a daemon's packet over to the server that it means. */
+/** Delivers what daemons send to servers and callers. */
+export interface PacketDelivery {
+  /** Delivers a daemon's packet to the address of `target`. */
   deliverToServer(
     packet: CookiePacket,
-    meant: CatalogServer,
+    target: CatalogServer,
     cookie: number,
     daemon: string,
   ): void;
-  /** Hands a daemon's reset over to its caller. */
+  /** Delivers a daemon's reset to the caller of the flow. */
   deliverReset(caller: CallerPosition, daemon: string): void;
 }
 
@@ -25,14 +25,14 @@
   private isClosed = false;
 
   private constructor(
-    private readonly ways: PacketWays,
+    private readonly delivery: PacketDelivery,
     private readonly daemon: string,
   ) {
     super();
   }
 
   /** Creates the fabric of a daemon. */
-  static create(ways: PacketWays, daemon: string): SimulatedFabric {
+  static create(ways: PacketDelivery, daemon: string): SimulatedFabric {
     return new SimulatedFabric(ways, daemon);
   }
 
@@ -40,7 +40,7 @@
     this.handle = handle;
   }
 
-  /** Hands a packet over; one that nobody takes is lost. */
+  /** Delivers a packet to the daemon; drops it when no handler is installed. */
   deliver(packet: CookiePacket): void {
     if (!this.isClosed) {
       this.handle?.(packet);
@@ -49,13 +49,13 @@
 
   forward(packet: CookiePacket, server: CatalogServer, cookie: number): void {
     if (!this.isClosed) {
-      this.ways.deliverToServer(packet, server, cookie, this.daemon);
+      this.delivery.deliverToServer(packet, server, cookie, this.daemon);
     }
   }
 
   reset(caller: CallerPosition): void {
     if (!this.isClosed) {
-      this.ways.deliverReset(caller, this.daemon);
+      this.delivery.deliverReset(caller, this.daemon);
     }
   }
 
--- a/standins/simulated-platform.ts
+++ b/standins/simulated-platform.ts
@@ -1,7 +1,7 @@
 /**
- * A platform whose packets carry cookies, in memory and on virtual time: a
- * router that checks readiness, daemons, servers, callers and the store, with
- * faults to order. It keeps a list of every promise that it saw broken.
+ * Simulates a platform whose packets carry cookies, in memory and on virtual time: a
+ * router with readiness checks, daemons, backend servers, callers and the store. Tests
+ * inject faults and read the invariant violations that the simulation recorded.
  */
 import {MemoryCounters} from '../src/adapters/memory-counters.js';
 import type {
@@ -34,34 +34,35 @@
 import {
   PromiseJudge,
   type BrokenPromise,
-  type PromiseBounds,
+  type InvariantBounds,
 } from './promise-judge.js';
 import {SimulatedFabric} from './simulated-fabric.js';
 
-/** One way between any two processes, in milliseconds. */
-const WAY_MS = 1;
-/** What a link carries that is not told to be slow, in megabits a second. */
-const FAST_LINK_MBPS = 1_000;
-/** Time that a fleet has to start before callers come, in milliseconds. */
-const SETTLE_MS = 8_000;
-/** Time between two readiness checks, in milliseconds. */
-const CHECK_MS = 500;
+/** Latency between any two processes. */
+const ONE_WAY_LATENCY_MS = 1;
+/** Link rate that daemons are configured with unless the plan sets one. */
+const DEFAULT_LINK_MBPS = 1_000;
+/** Time that daemons have to start before `create` resolves. */
+const STARTUP_WAIT_MS = 8_000;
+const READINESS_INTERVAL_MS = 500;
 const FIRST_DAEMON_ADDRESS = 0x0a000001;
 const FIRST_SERVER_ADDRESS = 0x0a800001;
-const FIRST_FREE_ADDRESS = 0x0a900001;
+const FIRST_UNUSED_ADDRESS = 0x0a900001;
 const FIRST_CALLER_ADDRESS = 0x64400001;
-const CALLER_ADDRESSES = 50;
+const CALLER_ADDRESS_COUNT = 50;
 const SERVER_PORT = 8_080;
 const QUEUE_LENGTH = 8;
-/** What cold servers take, as on the users' platform. */
+/** Limits on new flows to cold servers. */
 export const COLD_LIMITS: ColdLimits = {excess: 1.5, slack: 5};
 
-/** What the clocks of servers' hosts say at starts, in turn; Unix milliseconds. */
-const RESTART_TIMES: readonly number[] = [1_800_000_000_000, 1_700_000_000_000];
+/** Start times that restarted servers report in turn: forward and backward jumps. */
+const RESTART_START_TIMES_MS: readonly number[] = [
+  1_800_000_000_000, 1_700_000_000_000,
+];
 
 const NO_FEATURES: EntryFeatures = {feedback: false, pressure: false};
 
-/** How the world is laid out. */
+/** Layout of a simulated platform. */
 export interface SimulationPlan {
   readonly seed: number;
   readonly daemons: number;
@@ -73,23 +74,24 @@
     workMs: number;
   }>;
   readonly routes: readonly CatalogRoute[];
-  readonly bounds: PromiseBounds;
-  /** Services that state a rate for cold servers; none if undefined. */
+  readonly bounds: InvariantBounds;
+  /** Services with a warm-up rate for cold servers; undefined: none. */
   readonly coldServices?: readonly ColdService[];
-  /** Regions of the failure domains; none are known if undefined. */
+  /** Region by failure domain; undefined: no regions. */
   readonly regions?: ReadonlyMap<string, string>;
-  /** Megabits a second of the store's link, and of daemons' in turn; any if undefined. */
+  /** Rate of the store's link; undefined: unlimited. */
   readonly storeLinkMbps?: number;
+  /** Rates of the daemons' links, assigned round-robin; undefined: unlimited. */
   readonly linksMbps?: readonly number[];
-  /** Whether servers confirm requests before they answer them; undefined: no. */
+  /** Whether servers acknowledge requests before they answer them; undefined: no. */
   readonly confirms?: boolean;
-  /** How daemons place; the usual way if undefined. */
+  /** Placement policy of the daemons; undefined: the default one. */
   readonly placement?: Placement;
-  /** What the deployment asks for; nothing if undefined. */
+  /** Optional features of the daemons; undefined: all off. */
   readonly features?: EntryFeatures;
 }
 
-/** One daemon, running or not. */
+/** A simulated daemon, running or stopped. */
 export interface SimulatedDaemon extends CheckedDaemon {
   readonly settings: EntrySettings;
   running: EntryDaemon | undefined;
@@ -97,13 +99,13 @@
   fabric: SimulatedFabric;
 }
 
-/** Callers' ends by kind, and how long answered ones took. */
-export interface CallTally {
+/** Counts of finished calls by outcome, and durations of the answered ones. */
+export interface CallResults {
   readonly ends: Record<CallEnd, number>;
   readonly tookMs: number[];
 }
 
-/** The world. */
+/** A simulated platform with its daemons, servers, callers, router and store. */
 export class SimulatedPlatform {
   readonly clock = FakeClock.create();
   readonly random: Random;
@@ -111,10 +113,10 @@
   readonly network: ChannelNetwork;
   readonly daemons = new Map<string, SimulatedDaemon>();
   readonly lines: LoggedLine[] = [];
-  /** Daemons whose packets do not reach servers. */
+  /** Names of the daemons whose packets do not reach servers. */
   readonly cutFromServers = new Set<string>();
-  readonly judge: PromiseJudge;
-  readonly tally: CallTally = {
+  readonly invariants: PromiseJudge;
+  readonly tally: CallResults = {
     ends: {answered: 0, refused: 0, cut: 0, 'timed-out': 0},
     tookMs: [],
   };
@@ -131,14 +133,14 @@
     this.random = Random.create(plan.seed);
     this.store = CatalogStore.create(this.clock);
     this.network = ChannelNetwork.create(this.clock, this.random);
-    this.judge = PromiseJudge.create({
+    this.invariants = PromiseJudge.create({
       clock: this.clock,
       bounds: plan.bounds,
       ownerOf: flow => this.servers.find(this.callers.serverOf(flow) ?? ''),
     });
     this.servers = CookieServerFleet.create({
       store: this.store,
-      judge: this.judge,
+      judge: this.invariants,
       clock: this.clock,
       send: packet => this.sendToCaller(packet),
       later: (milliseconds, task) => {
@@ -148,41 +150,43 @@
     this.callers = CookieCallerFleet.create({
       clock: this.clock,
       firstAddress: FIRST_CALLER_ADDRESS,
-      addresses: CALLER_ADDRESSES,
+      addresses: CALLER_ADDRESS_COUNT,
       send: packet => this.sendToFabric(packet),
-      onEnd: (end, startedAt) => this.noteEnd(end, startedAt),
+      onEnd: (end, startedAt) => this.recordCallOutcome(end, startedAt),
     });
   }
 
-  /** Creates a world whose daemons run and whose routes are published. */
+  /** Creates a platform with running daemons and published routes. */
   static async create(
     plan: SimulationPlan,
     hasher: Hasher,
   ): Promise<SimulatedPlatform> {
-    const world = new SimulatedPlatform(plan, hasher);
+    const platform = new SimulatedPlatform(plan, hasher);
     if (plan.storeLinkMbps !== undefined) {
-      world.network.links.setRate(STORE_LINK, plan.storeLinkMbps);
+      platform.network.links.setRate(STORE_LINK, plan.storeLinkMbps);
     }
     plan.services.forEach(service =>
       Array.from({length: service.servers}, () =>
-        world.startServer(service.name),
+        platform.startServer(service.name),
       ),
     );
-    world.publish(plan.routes);
+    platform.publish(plan.routes);
     Array.from({length: plan.daemons}, (_daemon, index) =>
-      world.addDaemon(index),
+      platform.addDaemon(index),
     );
     await Promise.all(
-      [...world.daemons.keys()].map(name => world.startDaemon(name, true)),
+      [...platform.daemons.keys()].map(name =>
+        platform.startDaemon(name, true),
+      ),
     );
-    world.checkReadiness();
-    await world.clock.advance(SETTLE_MS);
-    return world;
+    platform.pollReadiness();
+    await platform.clock.advance(STARTUP_WAIT_MS);
+    return platform;
   }
 
   /** Publishes a new version of the routes. */
   publish(routes: readonly CatalogRoute[]): void {
-    this.judge.notePublished(routes);
+    this.invariants.notePublished(routes);
     this.routes = {
       version: this.routes.version + 1,
       routes,
@@ -191,29 +195,29 @@
     this.store.putRoutes(this.routes);
   }
 
-  /** Evacuates a failure domain of servers. */
+  /** Evacuates the servers of a failure domain. */
   evacuate(failureDomain: string): void {
-    this.judge.noteEvacuated(failureDomain);
+    this.invariants.noteEvacuated(failureDomain);
     this.store.evacuate(failureDomain);
   }
 
-  /** Restores a failure domain of servers. */
+  /** Ends the evacuation of a failure domain. */
   restore(failureDomain: string): void {
-    this.judge.noteRestored(failureDomain);
+    this.invariants.noteRestored(failureDomain);
     this.store.restore(failureDomain);
   }
 
-  /** The promises that were seen broken. */
+  /** Violations recorded so far. */
   get broken(): readonly BrokenPromise[] {
-    return this.judge.broken;
+    return this.invariants.broken;
   }
 
-  /** The routes in force. */
+  /** Routes of the version published last. */
   get publishedRoutes(): readonly CatalogRoute[] {
     return this.routes.routes;
   }
 
-  /** Starts a server; at the address of one that has ended, if told. */
+  /** Starts a server, at an unused address unless `address` is given. */
   startServer(service: string, address?: number): CookieServer {
     this.serverCount += 1;
     const plan = this.plan.services.find(({name}) => name === service);
@@ -223,78 +227,83 @@
         service,
         address: address ?? FIRST_SERVER_ADDRESS + this.serverCount,
         port: SERVER_PORT,
-        failureDomain: this.domainOf(this.serverCount),
+        failureDomain: this.selectFailureDomain(this.serverCount),
         slots: plan?.slots ?? 1,
         coldUntil: this.clock.now(),
         startTime: 0,
       },
-      this.workOf(service),
+      this.createWorkPlan(service),
     );
   }
 
-  /** Has a server start again under its id, elsewhere if told. */
+  /** Restarts a server under its id, at its old address unless `address` is given. */
   restartServer(server: CookieServer, address?: number): CookieServer {
     const {entry} = server;
     this.restarts += 1;
-    // Any other number is another life: the clocks of hosts jump.
-    const startTime = RESTART_TIMES[this.restarts % RESTART_TIMES.length];
+    // A new start time marks a new incarnation, also when it lies before the old one.
+    const startTime =
+      RESTART_START_TIMES_MS[this.restarts % RESTART_START_TIMES_MS.length];
     return this.servers.restart(
       server,
       {startTime: startTime + this.restarts, address: address ?? entry.address},
-      this.workOf(entry.service),
+      this.createWorkPlan(entry.service),
     );
   }
 
-  /** The same at an address where nobody was. */
+  /** Restarts a server under its id at an unused address. */
   moveServer(server: CookieServer): CookieServer {
-    return this.restartServer(server, FIRST_FREE_ADDRESS + this.restarts);
+    return this.restartServer(server, FIRST_UNUSED_ADDRESS + this.restarts);
   }
 
-  /** Has another writer write over a server's entry. */
+  /** Overwrites a server's store entry with unreadable data. */
   spoilEntry(server: CookieServer): void {
     this.store.spoilServer(server.entry.id);
   }
 
-  /** Has a server write its entry again, if it lives. */
+  /** Writes a server's store entry again unless the server has crashed. */
   mendEntry({entry, state, hasCrashed}: CookieServer): void {
     if (!hasCrashed) {
       this.store.putServer({...entry, state});
     }
   }
 
-  private workOf(service: string): ServerWorkPlan {
+  private createWorkPlan(service: string): ServerWorkPlan {
     const plan = this.plan.services.find(({name}) => name === service);
     const {confirms} = this.plan;
     const workMs = plan?.workMs ?? 1;
     return {workMs, queueLength: QUEUE_LENGTH, confirms};
   }
 
-  /** A server by id, whether it runs or not. */
+  /** Returns the latest server with an id, running or not. */
   serverOf(id: string): CookieServer | undefined {
     return this.servers.find(id);
   }
 
-  /** Servers of a service that neither drain nor have ended. */
+  /** Lists servers of a service that are neither draining nor crashed. */
   liveServers(service: string): CookieServer[] {
     return this.servers.live(service);
   }
 
-  /** Has a server drain, and end `afterMs` later. */
+  /** Starts draining a server, which terminates `afterMs` later. */
   drainServer(server: CookieServer, afterMs: number): void {
     this.servers.drain(server, afterMs);
   }
 
-  /** Ends a server unplanned; its entry lapses `lapseMs` later. */
-  crashServer(server: CookieServer, silent: boolean, lapseMs: number): void {
-    this.servers.crash(server, silent, lapseMs);
+  /** Crashes a server; its store entry expires `entryTtlMs` later. */
+  crashServer(
+    server: CookieServer,
+    isSilent: boolean,
+    entryTtlMs: number,
+  ): void {
+    this.servers.crash(server, isSilent, entryTtlMs);
   }
 
-  /** Silences a server for a while, as a cut of its links would. */
-  pauseServer(server: CookieServer, forMs: number): void {
-    this.servers.pause(server, forMs);
+  /** Makes a server unresponsive for a while, as a network partition would. */
+  pauseServer(server: CookieServer, durationMs: number): void {
+    this.servers.pause(server, durationMs);
   }
 
-  /** Starts a daemon that does not run. */
+  /** Starts a daemon that is not running; resolves when it has started. */
   async startDaemon(name: string, isFirstStart = false): Promise<void> {
     const daemon = this.daemonOf(name);
     daemon.clock = ProcessClock.create(this.clock);
@@ -312,7 +321,7 @@
       log: MemoryLog.create(name, this.lines),
       channel: MemoryChannel.create(address, this.network, clock),
       contact: MemoryContact.create(clock, server =>
-        this.answers(server, name),
+        this.isHostResponsive(server, name),
       ),
       source: MemoryCatalogSource.create(
         name,
@@ -326,7 +335,7 @@
     await daemon.running.run();
   }
 
-  /** Kills a daemon: it is gone from one moment to the next. */
+  /** Kills a daemon without a shutdown. */
   killDaemon(name: string): void {
     const daemon = this.daemonOf(name);
     daemon.running = undefined;
@@ -335,7 +344,7 @@
     this.network.detach(daemon.settings.address);
   }
 
-  /** Stops a daemon as planned; resolves when it has ended. */
+  /** Stops a daemon gracefully; resolves when it has terminated. */
   async stopDaemon(name: string): Promise<void> {
     const daemon = this.daemonOf(name);
     const {running} = daemon;
@@ -345,63 +354,74 @@
     }
   }
 
-  /** Cuts a daemon off from its peers, or heals the cut. */
-  cutFromPeers(name: string, isCut: boolean): void {
-    this.daemons.forEach(other => this.cutBetween(name, other.name, isCut));
+  /** Partitions a daemon from all its peers, or ends the partition. */
+  cutFromPeers(name: string, isPartitioned: boolean): void {
+    this.daemons.forEach(other =>
+      this.cutBetween(name, other.name, isPartitioned),
+    );
   }
 
-  /** Cuts two daemons off from each other, or heals the cut. */
-  cutBetween(name: string, other: string, isCut: boolean): void {
+  /** Partitions two daemons from each other, or ends the partition. */
+  cutBetween(name: string, other: string, isPartitioned: boolean): void {
     const one = this.daemonOf(name).settings.address;
     const two = this.daemonOf(other).settings.address;
-    [`${one}>${two}`, `${two}>${one}`].forEach(way =>
-      isCut ? this.network.cut.add(way) : this.network.cut.delete(way),
+    [`${one}>${two}`, `${two}>${one}`].forEach(path =>
+      isPartitioned
+        ? this.network.blockedPaths.add(path)
+        : this.network.blockedPaths.delete(path),
     );
   }
 
-  /** Whether a server's host answers a daemon. */
-  private answers({address}: {address: number}, name: string): boolean {
-    return !this.cutFromServers.has(name) && this.servers.answersAt(address);
+  /** Whether the host at a server's address responds to a daemon. */
+  private isHostResponsive(
+    {address}: {address: number},
+    name: string,
+  ): boolean {
+    return (
+      !this.cutFromServers.has(name) && this.servers.isHostResponsive(address)
+    );
   }
 
-  /** A daemon by name. */
+  /** Returns a daemon by name; throws if there is none. */
   daemonOf(name: string): SimulatedDaemon {
     const daemon = this.daemons.get(name);
     if (daemon === undefined) {
-      throw new Error(`no daemon ${name} in this world`);
+      throw new Error(`simulated platform has no daemon ${name}`);
     }
     return daemon;
   }
 
-  /** Starts a caller with some requests on one flow, and pauses between them. */
+  /** Starts a caller that sends `requests` requests on one flow, `pauseMs` apart. */
   call(
     route: CatalogRoute,
     requests: number,
-    limitMs: number,
+    timeoutMs: number,
     pauseMs = 0,
   ): CookieCaller {
-    return this.callers.start(route, requests, limitMs, pauseMs);
+    return this.callers.start(route, requests, timeoutMs, pauseMs);
   }
 
-  /** Hands a daemon's packet over to the server that it means. */
+  /** Delivers a daemon's packet to the address of `target`. */
   deliverToServer(
     packet: CookiePacket,
-    meant: CatalogServer,
+    target: CatalogServer,
     cookie: number,
     daemon: string,
   ): void {
-    const {address, id} = meant;
+    const {address, id} = target;
     if (!this.cutFromServers.has(daemon)) {
-      this.after(() => this.servers.deliver(packet, address, id, cookie));
+      this.runAfterLatency(() =>
+        this.servers.deliver(packet, address, id, cookie),
+      );
     }
   }
 
-  /** Hands a daemon's reset over to its caller. */
+  /** Delivers a daemon's reset to the caller of the flow. */
   deliverReset(caller: CallerPosition, daemon: string): void {
-    this.after(() => {
+    this.runAfterLatency(() => {
       const flow = flowName(caller);
       const {destinationAddress: address, destinationPort: port} = caller;
-      this.judge.judgeReset(flow, {address, port}, daemon);
+      this.invariants.judgeReset(flow, {address, port}, daemon);
       this.callers.find(flow)?.receiveReset();
     });
   }
@@ -411,7 +431,7 @@
     const address = FIRST_DAEMON_ADDRESS + index;
     const seeds = [0, 1, 2].map(offset => FIRST_DAEMON_ADDRESS + offset);
     const links = this.plan.linksMbps ?? [];
-    const linkMbps = links[index % links.length] ?? FAST_LINK_MBPS;
+    const linkMbps = links[index % links.length] ?? DEFAULT_LINK_MBPS;
     if (links.length > 0) {
       this.network.links.setRate(String(address), linkMbps);
     }
@@ -420,7 +440,7 @@
       settings: {
         name,
         address,
-        failureDomain: this.domainOf(index),
+        failureDomain: this.selectFailureDomain(index),
         regions: this.plan.regions ?? new Map(),
         fabricListen: '',
         fabricForm: '',
@@ -448,18 +468,20 @@
     });
   }
 
-  private domainOf(index: number): string {
+  private selectFailureDomain(index: number): string {
     const {failureDomains} = this.plan;
     return failureDomains[index % failureDomains.length];
   }
 
-  /** The router asks every daemon twice a second. */
-  private checkReadiness(): void {
+  /** Checks the readiness of all daemons for the router, and schedules the next check. */
+  private pollReadiness(): void {
     this.daemons.forEach(daemon => {
       const ready = daemon.running?.isReady() === true;
       noteCheck(daemon, ready);
     });
-    this.clock.callAt(this.clock.now() + CHECK_MS, () => this.checkReadiness());
+    this.clock.callAt(this.clock.now() + READINESS_INTERVAL_MS, () =>
+      this.pollReadiness(),
+    );
   }
 
   private sendToFabric(packet: CookiePacket): void {
@@ -468,18 +490,18 @@
       flowName(packet),
       this.hasher,
     );
-    this.after(() => chosen?.fabric.deliver(packet));
+    this.runAfterLatency(() => chosen?.fabric.deliver(packet));
   }
 
   private sendToCaller(packet: ServerPacket): void {
-    this.after(() => this.callers.find(packet.flow)?.receive(packet));
+    this.runAfterLatency(() => this.callers.find(packet.flow)?.receive(packet));
   }
 
-  private after(task: () => void): void {
-    this.clock.callAt(this.clock.now() + WAY_MS, task);
+  private runAfterLatency(task: () => void): void {
+    this.clock.callAt(this.clock.now() + ONE_WAY_LATENCY_MS, task);
   }
 
-  private noteEnd(end: CallEnd, startedAt: number): void {
+  private recordCallOutcome(end: CallEnd, startedAt: number): void {
     this.tally.ends[end] += 1;
     if (end === CallEnd.ANSWERED) {
       this.tally.tookMs.push(this.clock.now() - startedAt);
