--- a/standins/cookie-server-fleet.ts
+++ b/standins/cookie-server-fleet.ts
@@ -52,9 +52,9 @@
 
   /** Starts a server, which takes over its address from a server before it. */
   start(published: NewServer, plan: ServerWorkPlan): CookieServer {
-    const {store, clock, judge} = this.options;
+    const {store, clock} = this.options;
     const entry = store.putServer({...published, state: ServerState.READY});
-    judge.recordServerStart(entry.id);
+    this.options.judge.recordServerStart(entry.id);
     const server = CookieServer.create({
       entry,
       clock,
@@ -97,10 +97,10 @@
 
   /** Starts draining a server, which terminates `afterMs` later. */
   drain(server: CookieServer, afterMs: number): void {
-    const {store, judge} = this.options;
+    const {store} = this.options;
     server.state = ServerState.DRAINING;
     store.putServer({...server.entry, state: ServerState.DRAINING});
-    judge.recordDrainStart(server.entry.id);
+    this.options.judge.recordDrainStart(server.entry.id);
     this.options.later(afterMs, () => {
       server.crash(false);
       this.removeEntry(server);
@@ -139,13 +139,12 @@
     targetId: string,
     cookie: number,
   ): void {
-    const {judge} = this.options;
     const server = this.serversByAddress.get(address);
     if (server === undefined || server.entry.id !== targetId) {
-      judge.checkMisroutedPacket(packet, targetId);
+      this.options.judge.checkMisroutedPacket(packet, targetId);
       return;
     }
-    judge.checkArrival(packet, server);
+    this.options.judge.checkArrival(packet, server);
     server.receive(flowName(packet), packet, cookie);
   }
 }
--- a/standins/packet-router.ts
+++ b/standins/packet-router.ts
@@ -35,7 +35,7 @@
   hasher: Hasher,
 ): T | undefined {
   const [chosen] = daemons
-    .filter(({isIn}) => isIn)
+    .filter(daemon => daemon.isIn)
     .map(daemon => ({
       daemon,
       score: hasher.hashText(`${daemon.name}/${flow}`, FLOW_HASH_SEED),
