--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -12,7 +12,7 @@
 
 /** The queue of one server pool, bounded per workspace. */
 export class RequestQueue<T extends QueuedRequest> {
-  /** By workspace, in the order of service; each sorted by deadline. */
+  /** By workspace, in round-robin order; each sorted by deadline. */
   private readonly queues = new Map<string, T[]>();
   private count = 0;
 
@@ -38,15 +38,18 @@
     return this.queues.size;
   }
 
-  /** Adds a request; false when the workspace's queue is full. */
+  /**
+   * Adds a request after those with the same deadline; false when the workspace's queue is
+   * full. A workspace without queued requests joins at the end of the round.
+   */
   add(item: T): boolean {
-    const list = this.queues.get(item.workspace) ?? [];
-    if (list.length >= this.capacityPerWorkspace) {
+    const queue = this.queues.get(item.workspace) ?? [];
+    if (queue.length >= this.capacityPerWorkspace) {
       return false;
     }
-    this.queues.set(item.workspace, list);
-    const insertAt = list.findIndex(({deadline}) => deadline > item.deadline);
-    list.splice(insertAt < 0 ? list.length : insertAt, 0, item);
+    this.queues.set(item.workspace, queue);
+    const insertAt = queue.findIndex(({deadline}) => deadline > item.deadline);
+    queue.splice(insertAt < 0 ? queue.length : insertAt, 0, item);
     this.count += 1;
     return true;
   }
@@ -60,11 +63,11 @@
     if (first.done === true) {
       return undefined;
     }
-    const [workspace, list] = first.value;
-    const item = list.shift();
+    const [workspace, queue] = first.value;
+    const item = queue.shift();
     this.queues.delete(workspace);
-    if (list.length > 0) {
-      this.queues.set(workspace, list);
+    if (queue.length > 0) {
+      this.queues.set(workspace, queue);
     }
     this.count -= item === undefined ? 0 : 1;
     return item;
@@ -72,14 +75,14 @@
 
   /** Removes a request; false when it is no longer queued. */
   remove(item: T): boolean {
-    const list = this.queues.get(item.workspace) ?? [];
-    const position = list.indexOf(item);
+    const queue = this.queues.get(item.workspace) ?? [];
+    const position = queue.indexOf(item);
     if (position < 0) {
       return false;
     }
-    list.splice(position, 1);
+    queue.splice(position, 1);
     this.count -= 1;
-    if (list.length === 0) {
+    if (queue.length === 0) {
       this.queues.delete(item.workspace);
     }
     return true;
--- a/src/catalog/catalog-transfer-limiter.spec.ts
+++ b/src/catalog/catalog-transfer-limiter.spec.ts
@@ -8,15 +8,15 @@
 
 test('a daemon on a slow link sends a few catalogs and refers others to the recipients', () => {
   const limiter = CatalogTransferLimiter.create(SLOW_MBPS);
-  const answers = Array.from({length: 8}, (_asker, index) =>
+  const referrals = Array.from({length: 8}, (_asker, index) =>
     limiter.admitOrRefer(100 + index, CATALOG_SIZE, 0),
   );
-  const admitted = answers.filter(answer => answer === undefined).length;
+  const admitted = referrals.filter(referral => referral === undefined).length;
   assert.ok(admitted >= 2 && admitted <= 4, `${admitted} admitted`);
-  answers.forEach((answer, index) => {
-    if (answer !== undefined) {
-      assert.ok(answer.other >= 100 && answer.other < 100 + index);
-      assert.ok(answer.waitMs > 0 && answer.waitMs < 200);
+  referrals.forEach((referral, index) => {
+    if (referral !== undefined) {
+      assert.ok(referral.other >= 100 && referral.other < 100 + index);
+      assert.ok(referral.waitMs > 0 && referral.waitMs < 200);
     }
   });
 });
--- a/src/catalog/records.ts
+++ b/src/catalog/records.ts
@@ -19,7 +19,7 @@
   /** Maximum number of concurrent requests. */
   readonly slots: number;
   readonly state: ServerState;
-  /** Monotonic milliseconds until which the server is in slow start. */
+  /** Monotonic milliseconds until which the server is cold, which means in slow start. */
   readonly coldUntil: number;
   /** Store revision at which the entry was created. */
   readonly createdRevision: number;
@@ -60,6 +60,7 @@
 
 /** A destination address of callers and the services that serve it. */
 export interface CatalogRoute {
+  /** IPv4 address as an unsigned number. */
   readonly address: number;
   readonly port: number;
   readonly shares: readonly ServiceShare[];
@@ -84,6 +85,7 @@
 /** Evacuation or restoration of a failure domain by an operator. */
 export interface DomainChange {
   readonly failureDomain: string;
+  /** False after a restoration. */
   readonly isEvacuated: boolean;
 }
 
