--- a/src/adapters/datagram-authenticator.ts
+++ b/src/adapters/datagram-authenticator.ts
@@ -3,7 +3,10 @@
 
 const MAC_BYTES = 16;
 
-/** Adds and verifies message authentication codes; without a key it does neither. */
+/**
+ * Adds and verifies message authentication codes. Without a key it adds none and accepts
+ * every datagram.
+ */
 export class DatagramAuthenticator {
   private constructor(private readonly key: string | undefined) {}
 
@@ -19,7 +22,10 @@
       : Buffer.concat([this.computeMac(this.key, bytes), bytes]);
   }
 
-  /** Returns the datagram without its code; undefined when the code does not match. */
+  /**
+   * Returns the datagram without its code; undefined when the code does not match or the
+   * datagram has no content.
+   */
   verify(bytes: Buffer): Buffer | undefined {
     if (this.key === undefined) {
       return bytes;
