--- a/src/adapters/memory-counters.ts
+++ b/src/adapters/memory-counters.ts
@@ -2,6 +2,7 @@
 import type * as prometheus from 'prom-client';
 import {Counters, type Metric} from '../ports/counters.js';
 
+/** Inclusive upper bounds of the histogram buckets. */
 const BUCKET_BOUNDS_MS: readonly number[] = [
   1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000,
 ];
@@ -27,9 +28,9 @@
    * which keeps prom-client out of the start-up path.
    */
   static create(
-    loadWriter: () => Promise<TextWriter> = () => import('prom-client'),
+    loadPrometheus: () => Promise<TextWriter> = () => import('prom-client'),
   ): MemoryCounters {
-    return new MemoryCounters(loadWriter);
+    return new MemoryCounters(loadPrometheus);
   }
 
   add(name: Metric, by = 1): void {
@@ -58,19 +59,19 @@
     const client = await this.loadPrometheus();
     const registry = new client.Registry();
     this.counters.forEach((value, name) =>
-      writeCounter(client, registry, name, value),
+      registerCounter(client, registry, name, value),
     );
     this.gauges.forEach((value, name) =>
-      writeGauge(client, registry, name, value),
+      registerGauge(client, registry, name, value),
     );
     this.histograms.forEach((counts, name) =>
-      writeHistogram(client, registry, name, counts),
+      registerHistogram(client, registry, name, counts),
     );
     return registry.metrics();
   }
 }
 
-function writeCounter(
+function registerCounter(
   {Counter}: TextWriter,
   registry: prometheus.Registry,
   metric: Metric,
@@ -80,7 +81,7 @@
   new Counter({name, help: metric, registers: [registry]}).inc(value);
 }
 
-function writeGauge(
+function registerGauge(
   {Gauge}: TextWriter,
   registry: prometheus.Registry,
   metric: Metric,
@@ -90,8 +91,8 @@
   new Gauge({name, help: metric, registers: [registry]}).set(value);
 }
 
-/** Writes cumulative bucket counts: for each bound, the observations up to it. */
-function writeHistogram(
+/** Registers cumulative bucket counts: for each bound, the observations up to it. */
+function registerHistogram(
   {Gauge}: TextWriter,
   registry: prometheus.Registry,
   metric: Metric,
--- a/src/routing/server-choice.ts
+++ b/src/routing/server-choice.ts
@@ -1,6 +1,7 @@
 /**
  * Selects the backend server for a new flow: filters by region, cold-start rate and
- * responsiveness, then load balances among the remaining servers. Used by `CookieRouter`.
+ * responsiveness, then load balances among the remaining servers. A server is cold while
+ * in slow start, after its own start or its domain's restoration. Used by `CookieRouter`.
  */
 import type {Catalog} from '../catalog/catalog.js';
 import type {CatalogServer} from '../catalog/records.js';
@@ -14,7 +15,7 @@
 /** Servers compared for one new flow; bounds the cost for large services. */
 const MAX_CANDIDATES = 32;
 
-/** Share of its slots that a server is weighted with while it is cold. */
+/** Fraction of a cold server's slots that counts in its weight. */
 const COLD_CAPACITY_SHARE = 0.6;
 
 /** Dependencies and settings of a `ServerSelector`. */
@@ -25,7 +26,7 @@
   readonly random: Random;
   /** Performance ratings of the servers relative to others of their service. */
   readonly ratings: ServerRatings;
-  /** Called when a server is found unresponsive and gets no new flows for a while. */
+  /** Called when a server is found unresponsive; it gets no new flows until its backoff ends. */
   onSilent(server: CatalogServer): void;
   /** Called for each packet that a server left unanswered. */
   onUnanswered(server: CatalogServer): void;
@@ -33,6 +34,7 @@
   isUnreachable(server: string): boolean;
   /** Returns the region of a failure domain; undefined if it is not known. */
   regionOf(failureDomain: string): string | undefined;
+  /** Limit on the requests per second to a cold server, from its service's rate. */
   readonly coldLimits: ColdLimits;
   /** Returns how many daemons open flows; undefined while that is not known. */
   countDaemons(): number | undefined;
@@ -54,7 +56,8 @@
 
   /**
    * Returns a server for a new flow, preferably not one of `triedServers`; undefined when
-   * the selected service has none that may take it. `now` is monotonic milliseconds.
+   * the service selected from the route has no eligible server. `now` is monotonic
+   * milliseconds.
    */
   select(
     route: KnownRoute,
@@ -65,6 +68,7 @@
     const service = this.selectService(route);
     const eligible = this.filterByRegion(catalog.openServers(service), route);
     const admitted = this.filterByColdRate(eligible, service, now);
+    // Later packets could not identify a server that has no cookie at the route.
     const servers = this.sample(admitted).filter(
       server => catalog.cookieOf(server, route) !== undefined,
     );
@@ -117,7 +121,7 @@
     );
   }
 
-  /** Records that a flow was opened; it counts against the rate of a cold server. */
+  /** Records that a flow was opened; at a cold server, it counts against the rate limit. */
   recordOpening(server: CatalogServer, now: number): void {
     const {catalog} = this.options;
     const rate = catalog.coldRateOf(server.service);
@@ -184,7 +188,7 @@
     return remaining.length > 0 ? remaining : servers;
   }
 
-  /** Creates the placement candidate of a server; `index` is its position in the list. */
+  /** Creates the placement candidate of a server; `index` identifies it to the placement. */
   private createCandidate(
     server: CatalogServer,
     index: number,
@@ -201,7 +205,7 @@
     return {server: index, weight, flows, ownFlows};
   }
 
-  /** Selects one of the route's services at random by weight. */
+  /** Selects one of the route's services at random by weight; empty if it has none. */
   private selectService(route: KnownRoute): string {
     const total = route.shares.reduce((sum, {weight}) => sum + weight, 0);
     const point = this.options.random.next() * total;
--- a/src/routing/server-load-tracker.ts
+++ b/src/routing/server-load-tracker.ts
@@ -17,16 +17,17 @@
 const MAX_BACKOFF_MS = 6_400;
 /**
  * Multiple of the average time to answer an opening packet at which an answer is overdue.
- * A server that refuses a flow answers the caller alone, so this daemon can only infer it.
+ * Answers bypass the daemon, which infers them from the caller's next packet. After a
+ * refusal there is none, so the opening stays unanswered.
  */
 const OVERDUE_FACTOR = 4;
 /** Minimum time until an answer is overdue: two round trips to distant callers. */
 const MIN_OVERDUE_MS = 25;
-/** Initial value of the average time to answer an opening packet. */
+/** Initial value of the moving average of the time to answer an opening packet. */
 const INITIAL_OPENING_ANSWER_MS = 10;
-/** Weight of the newest sample in that moving average. */
+/** Weight of the newest sample in the moving average. */
 const OPENING_ANSWER_EWMA_WEIGHT = 0.1;
-/** Servers reported in one heartbeat. */
+/** Maximum number of servers reported in one heartbeat. */
 const MAX_GOSSIPED_SERVERS = 40;
 
 /** What this daemon observed of one server; times are monotonic milliseconds. */
@@ -45,7 +46,9 @@
 
 /** Load of one server as a peer reported it. */
 interface PeerServerLoad {
+  /** Requests in flight from the peer. */
   readonly unfinished: number;
+  /** Whether the server is in backoff at the peer. */
   readonly silent: boolean;
 }
 
@@ -99,8 +102,8 @@
   }
 
   /**
-   * Records that a server left a packet unanswered. Starts a backoff and returns true,
-   * unless one is in progress.
+   * Records that a server left a packet unanswered. Starts a backoff and returns true, or
+   * returns false if one is in progress.
    */
   recordUnanswered(server: string, now: number): boolean {
     const state = this.observationOf(server);
@@ -157,14 +160,14 @@
   }
 
   /**
-   * Returns the load report for the peers: servers in backoff and, unless `onlySilent`,
-   * servers with requests in flight.
+   * Returns the load report for the peers: servers in backoff and, unless
+   * `onlyUnresponsive`, servers with requests in flight.
    */
-  selectLoadToGossip(now: number, onlySilent: boolean): ServerWork[] {
+  selectLoadToGossip(now: number, onlyUnresponsive: boolean): ServerWork[] {
     return [...this.observed]
       .filter(
         ([, {inFlight, backoffUntil}]) =>
-          backoffUntil > now || (inFlight > 0 && !onlySilent),
+          backoffUntil > now || (inFlight > 0 && !onlyUnresponsive),
       )
       .slice(0, MAX_GOSSIPED_SERVERS)
       .map(([server, {inFlight, backoffUntil}]) => ({
@@ -174,7 +177,7 @@
       }));
   }
 
-  /** Replaces the load report of a peer, by its address. */
+  /** Replaces the load report of the peer with this address, and removes expired reports. */
   receive(peer: number, work: readonly ServerWork[], now: number): void {
     this.peerReports.set(peer, {
       loads: new Map(work.map(entry => [entry.server, entry])),
