--- a/src/entry/evacuation.spec.ts
+++ b/src/entry/evacuation.spec.ts
@@ -16,7 +16,9 @@
 import {createRoute} from '../../standins/catalog-records.js';
 
 const BOUNDS = {drainMs: 5_000, configurationMs: 5_000, evacuationMs: 5_000};
+/** 198.18.0.1:443. */
 const PAY = createRoute('pay', {address: 0xc6120001, port: 443});
+/** 198.18.0.2:443. */
 const DOCS = createRoute('docs', {
   address: 0xc6120002,
   port: 443,
@@ -100,12 +102,12 @@
   return platform.clock.now() - from;
 }
 
-/** Starts a caller every 20 ms for `lastsMs`. */
+/** Starts a caller every 20 ms for `durationMs`. */
 async function callFor(
   platform: SimulatedPlatform,
-  lastsMs: number,
+  durationMs: number,
 ): Promise<void> {
-  const rounds = Math.floor(lastsMs / 20);
+  const rounds = Math.floor(durationMs / 20);
   for (let round = 0; round < rounds; round += 1) {
     platform.call(round % 3 === 0 ? DOCS : PAY, 1 + (round % 4), 3_000);
     await platform.clock.advance(20);
@@ -115,8 +117,8 @@
 [6, 30, 90, 195].forEach(daemons =>
   test(`${daemons} daemons without faults all know of an evacuation, and of its end, within a second`, async () => {
     const platform = await createPlatform(daemons);
-    const took = await timeUntilKnown(platform, 'c');
-    assert.ok(took <= 1_000, `${took} ms`);
+    const elapsedMs = await timeUntilKnown(platform, 'c');
+    assert.ok(elapsedMs <= 1_000, `${elapsedMs} ms`);
     assert.equal((await countDomainsOfNewFlows(platform)).has('c'), false);
     platform.restore('c');
     await platform.clock.advance(1_000);
@@ -145,7 +147,7 @@
   platform.evacuate('a');
   platform.evacuate('b');
   await platform.clock.advance(1_000);
-  // No server of the only domain left responds, so callers retransmit.
+  // The servers of the only domain that is not evacuated are paused, so callers retransmit.
   platform
     .liveServers('pay')
     .filter(({entry}) => entry.failureDomain === 'c')
@@ -186,7 +188,7 @@
   assert.deepEqual([...(await countDomainsOfNewFlows(platform)).keys()], ['b']);
 });
 
-test('rapid, repeated and serverless evacuations and restorations leave no stale state', async () => {
+test('evacuations and restorations that are rapid, repeated or of a domain without servers leave no stale state', async () => {
   const platform = await createPlatform();
   ['c', 'nowhere', 'c'].forEach(domain => platform.evacuate(domain));
   await platform.clock.advance(300);
@@ -202,7 +204,7 @@
 
 test('daemons that all restart from a stale catalog keep an evacuation, and learn of a later one within 1.5 s', async () => {
   const platform = await createPlatform(30);
-  // Stale reads predate the evacuation of "c".
+  // Stale reads return the state of 6 s ago, before the evacuation of "c".
   platform.store.lagMs = 6_000;
   platform.evacuate('a');
   await platform.clock.advance(7_000);
@@ -218,7 +220,7 @@
   assert.equal(daemonsUnawareOf(platform, 'c').length, 0);
 });
 
-test('a daemon that starts from a stale catalog learns of an evacuation from its peers at once', async () => {
+test('a daemon that starts from a stale catalog learns of an evacuation from its peers within 300 ms', async () => {
   const platform = await createPlatform(30);
   platform.store.lagMs = 6_000;
   platform.evacuate('c');
@@ -240,7 +242,7 @@
   assert.deepEqual(daemonsUnawareOf(platform, 'c'), []);
   platform.restore('c');
   await platform.clock.advance(5_000);
-  // One of six daemons still avoids a third of the servers.
+  // The partitioned daemon cannot learn of the restoration.
   assert.equal(daemonsUnawareOf(platform, 'c').length, 5);
   platform.cutFromPeers('d4', false);
   await platform.clock.advance(3_000);
@@ -252,9 +254,9 @@
   Record<string, (platform: SimulatedPlatform) => void>
 > = {
   'a third of the daemons rejected by the store': platform =>
-    rejectCalls(platform, (_name, index) => index % 3 === 0),
+    rejectStoreCalls(platform, (_name, index) => index % 3 === 0),
   'all but five daemons rejected by the store': platform =>
-    rejectCalls(platform, (_name, index) => index >= 5),
+    rejectStoreCalls(platform, (_name, index) => index >= 5),
   'a store with 240 ms of latency': platform => {
     platform.store.answerMs = 240;
   },
@@ -277,7 +279,7 @@
       .forEach(name => platform.cutFromPeers(name, true)),
 };
 
-function rejectCalls(
+function rejectStoreCalls(
   platform: SimulatedPlatform,
   isAffected: (name: string, index: number) => boolean,
 ): void {
@@ -296,15 +298,17 @@
   );
 }
 
-/** Daemons that read the store, according to their last log line about it. */
+/** Names of the elected readers, by the last `reader-changed` log line of each daemon. */
 function readersOf(platform: SimulatedPlatform): string[] {
-  const waits = new Map<string, boolean>();
+  const isReaderByName = new Map<string, boolean>();
   platform.lines
     .filter(({event}) => event === 'reader-changed')
     .forEach(({process, fields}) =>
-      waits.set(process, fields['waits'] === true),
+      isReaderByName.set(process, fields['waits'] === true),
     );
-  return [...waits.keys()].filter(name => waits.get(name) === true);
+  return [...isReaderByName.keys()].filter(
+    name => isReaderByName.get(name) === true,
+  );
 }
 
 Object.entries(FAULT_SCENARIOS).forEach(([name, inject]) =>
@@ -314,8 +318,8 @@
     inject(platform);
     const first = await timeUntilKnown(platform, 'c');
     const second = await timeUntilKnown(platform, 'a');
-    const took = Math.max(first, second);
-    assert.ok(took < BOUNDS.evacuationMs, `${took} ms`);
+    const elapsedMs = Math.max(first, second);
+    assert.ok(elapsedMs < BOUNDS.evacuationMs, `${elapsedMs} ms`);
   }),
 );
 
