--- a/bench/cluster.ts
+++ b/bench/cluster.ts
@@ -10,14 +10,17 @@
 import type {Edit} from '../src/configuration/revision.js';
 import type {StatusReply, TimelineEvent} from '../src/generated/peer.js';
 import {EventKind} from '../src/ports/timeline.js';
-import type {CallersReport, OpenOrder} from '../standins/flow-callers.js';
-import {Knobs} from '../standins/knobs.js';
+import type {
+  CallersReport,
+  OpenFlowsCommand,
+} from '../standins/flow-callers.js';
+import {StandinControl} from '../standins/standin-control.js';
 import type {
   KeyOutcome,
-  RequestOrder,
+  SendRequestsCommand,
   RequestReport,
 } from '../standins/request-callers.js';
-import {Processes} from './processes.js';
+import {ProcessGroup} from './process-group.js';
 
 const HOST = '127.0.0.1';
 const FIRST_PORT = 10_000;
@@ -100,11 +103,11 @@
   readonly folder: string;
   readonly daemons = new Map<string, DaemonHandle>();
   readonly backends = new Map<string, {address: string; service: string}>();
-  readonly store: Knobs;
-  readonly instanceList: Knobs;
-  readonly fabric: Knobs;
+  readonly store: StandinControl;
+  readonly instanceList: StandinControl;
+  readonly fabric: StandinControl;
   readonly platform: Platform;
-  readonly processes = Processes.create();
+  readonly processes = ProcessGroup.create();
   private readonly addresses: {
     store: string;
     list: string;
@@ -112,7 +115,7 @@
     callers: string;
     requestCallers: string;
   };
-  private readonly knobs = new Map<string, Knobs>();
+  private readonly knobs = new Map<string, StandinControl>();
   private readonly experimentEvents: TimelineEvent[] = [];
   private readonly daemonEvents: TimelineEvent[] = [];
   private nextPort: number;
@@ -212,7 +215,7 @@
     this.processes.start(id, [program, '--config', file], this.getLogFile(id));
     if (this.callersStarted) {
       const entries = this.listRequestAddresses();
-      void this.getKnobs(this.addresses.requestCallers).turn({entries});
+      void this.getKnobs(this.addresses.requestCallers).configure({entries});
     }
     return handle;
   }
@@ -262,7 +265,7 @@
 
   /** Returns the status of each daemon that answers. */
   async readStatuses(): Promise<StatusReply[]> {
-    const answers = await this.platform.statuses();
+    const answers = await this.platform.readStatuses();
     return answers
       .filter(({id}) => this.daemons.has(id))
       .flatMap(({answer}) => answer ?? []);
@@ -331,9 +334,9 @@
   }
 
   /** Opens flows and waits until none is still opening. */
-  async openFlows(orders: readonly OpenOrder[]): Promise<CallersReport> {
+  async openFlows(orders: readonly OpenFlowsCommand[]): Promise<CallersReport> {
     const callers = this.getKnobs(this.addresses.callers);
-    await Promise.all(orders.map(open => callers.turn({open})));
+    await Promise.all(orders.map(open => callers.configure({open})));
     const total = orders.reduce((sum, {count}) => sum + count, 0);
     const seconds = Math.max(...orders.map(({count, rate}) => count / rate));
     await pause(seconds * 1_000);
@@ -353,12 +356,12 @@
   controlFlowCallers(
     settings: Record<string, unknown> = {},
   ): Promise<CallersReport> {
-    return this.getKnobs(this.addresses.callers).turn(settings);
+    return this.getKnobs(this.addresses.callers).configure(settings);
   }
 
   /** Starts sending requests; resolves before they have ended. */
-  async sendRequests(order: RequestOrder): Promise<void> {
-    await this.getKnobs(this.addresses.requestCallers).turn({send: order});
+  async sendRequests(order: SendRequestsCommand): Promise<void> {
+    await this.getKnobs(this.addresses.requestCallers).configure({send: order});
   }
 
   /** Returns reports of the request callers, with outcomes by key on demand. */
@@ -367,7 +370,9 @@
     pending: number;
     outcomes: KeyOutcome[];
   }> {
-    return this.getKnobs(this.addresses.requestCallers).turn({listOutcomes});
+    return this.getKnobs(this.addresses.requestCallers).configure({
+      listOutcomes,
+    });
   }
 
   /** Applies settings to a backend server ("ip:port") and returns its report. */
@@ -375,7 +380,7 @@
     id: string,
     settings: Record<string, unknown> = {},
   ): Promise<BackendReport> {
-    return this.getKnobs(id).turn(settings);
+    return this.getKnobs(id).configure(settings);
   }
 
   /** Applies settings to all servers of a service, or to all, and reads reports. */
@@ -415,7 +420,7 @@
 
   /** Collects events from the daemons' buffers before they are overwritten. */
   private async collectDaemonEvents(): Promise<void> {
-    const answers = await this.platform.timelines();
+    const answers = await this.platform.readTimelines();
     const known = new Set(this.daemonEvents.map(formatEventKey));
     answers
       .flatMap(({answer}) => answer?.events ?? [])
@@ -665,12 +670,12 @@
     return address;
   }
 
-  private getKnobs(address: string): Knobs {
+  private getKnobs(address: string): StandinControl {
     const known = this.knobs.get(address);
     if (known !== undefined) {
       return known;
     }
-    const created = Knobs.create(address);
+    const created = StandinControl.create(address);
     this.knobs.set(address, created);
     return created;
   }
@@ -685,9 +690,9 @@
 }
 
 /** Polls a stand-in until it answers a control call or the timeout has passed. */
-async function waitForAnswer(knobs: Knobs): Promise<void> {
+async function waitForAnswer(knobs: StandinControl): Promise<void> {
   const deadline = Date.now() + READY_TIMEOUT_MS;
-  const answered = await knobs.turn().then(
+  const answered = await knobs.configure().then(
     () => true,
     () => false,
   );
--- a/bench/demo.ts
+++ b/bench/demo.ts
@@ -115,7 +115,7 @@
   print(
     'opening long-lived flows; the fabric sends each packet to any daemon ...',
   );
-  await cluster.fabric.turn({reorder: 0.02, duplicate: 0.01});
+  await cluster.fabric.configure({reorder: 0.02, duplicate: 0.01});
   const report = await cluster.openFlows(
     services.map(plan => ({
       service: `${plan.workspace}/${plan.service}`,
--- a/bench/experiments/binding.ts
+++ b/bench/experiments/binding.ts
@@ -170,7 +170,7 @@
     Array.from({length: due}).forEach(() => {
       sent += 1;
       const began = clock.now();
-      void daemons[random.below(DAEMONS)](`key-${sent}`).then(answered => {
+      void daemons[random.nextInt(DAEMONS)](`key-${sent}`).then(answered => {
         if (answered) {
           histogram.recordValue((clock.now() - began) * MICROSECONDS_PER_MS);
         }
@@ -201,7 +201,7 @@
     hasher,
     counters: MemoryCounters.create(),
     backends: servers,
-    queueBound: 10_000,
+    queueCapacity: 10_000,
     retryShare: 0.05,
   });
   dispatcher.useServers(
@@ -246,12 +246,12 @@
       loads[next] < loads[best] ? next : best,
     );
   const choose = (): number => {
-    const first = random.below(SERVERS);
+    const first = random.nextInt(SERVERS);
     if (policy === 'random') {
       return first;
     }
     return policy === 'two-choices'
-      ? least(report(), [first, random.below(SERVERS)])
+      ? least(report(), [first, random.nextInt(SERVERS)])
       : least(
           outstanding,
           Array.from({length: SERVERS}, (_, i) => (first + i) % SERVERS),
--- a/bench/experiments/capacity.ts
+++ b/bench/experiments/capacity.ts
@@ -17,7 +17,7 @@
 import {ServerMarks} from '../../src/routing/server-marks.js';
 import {FakeClock} from '../../standins/fake-clock.js';
 import {MemoryCounters} from '../../src/adapters/memory-counters.js';
-import {MemoryFleet, packetOf} from '../../standins/memory-fleet.js';
+import {MemoryFleet, createFlowPacket} from '../../standins/memory-fleet.js';
 import {Cluster, pause} from '../cluster.js';
 import {fitLine, round} from '../measures.js';
 import {HANDHELD, PARKWISE_DOMAINS} from '../plans.js';
@@ -129,7 +129,7 @@
     const clock = FakeClock.create();
     const router = Router.create({
       self: 'a',
-      run: 'a/1',
+      runId: 'a/1',
       hasher,
       clock,
       counters: MemoryCounters.create(),
@@ -252,13 +252,13 @@
       await before;
       Array.from({length: 500}).forEach((__, index) => {
         const daemon = fleet.random.pick(fleet.ready);
-        const packet = packetOf(
+        const packet = createFlowPacket(
           step * 500 + index,
           PacketKind.OPEN,
           DESTINATION,
         );
         if (daemon !== undefined) {
-          fleet.hand(daemon, packet);
+          fleet.deliver(daemon, packet);
         }
       });
       await fleet.clock.advance(100);
@@ -318,8 +318,8 @@
     readProcessUsage(cluster.processes.get(id)?.child.pid ?? 0),
   );
   return {
-    storeCalls: (await cluster.store.turn<{calls: number}>()).calls,
-    listReads: (await cluster.instanceList.turn<{reads: number}>()).reads,
+    storeCalls: (await cluster.store.configure<{calls: number}>()).calls,
+    listReads: (await cluster.instanceList.configure<{reads: number}>()).reads,
     cpu: usages.reduce((sum, {cpuSeconds}) => sum + cpuSeconds, 0),
     resident: usages.reduce((sum, {residentBytes}) => sum + residentBytes, 0),
   };
--- a/bench/experiments/config-spread.ts
+++ b/bench/experiments/config-spread.ts
@@ -82,7 +82,7 @@
       return total + (counters[name] ?? 0);
     }, 0);
   return {
-    storeCalls: (await cluster.store.turn<{calls: number}>()).calls,
+    storeCalls: (await cluster.store.configure<{calls: number}>()).calls,
     bytes: sum('control.bytes_sent'),
     datagrams: sum('control.datagrams_sent'),
     cpu: [...cluster.daemons.keys()]
--- a/bench/experiments/config-storm.ts
+++ b/bench/experiments/config-storm.ts
@@ -241,7 +241,7 @@
 
 async function injectFaults(cluster: Cluster): Promise<void> {
   await pause(3_000);
-  await cluster.store.turn({loseAnswers: 0.25, slowMs: 20});
+  await cluster.store.configure({loseAnswers: 0.25, slowMs: 20});
   const [leaving, frozen] = [...cluster.daemons.keys()];
   cluster.startDaemon();
   await cluster.waitReady();
@@ -249,11 +249,11 @@
   cluster.freezeDaemon(frozen, true);
   await pause(3_000);
   cluster.freezeDaemon(frozen, false);
-  await cluster.store.turn({down: true});
+  await cluster.store.configure({down: true});
   await pause(5_000);
-  await cluster.store.turn({down: false});
+  await cluster.store.configure({down: false});
   await pause(2_000);
-  await cluster.store.turn({loseAnswers: 0, slowMs: 0});
+  await cluster.store.configure({loseAnswers: 0, slowMs: 0});
 }
 
 /** Returns the milliseconds until in effect of five edits without faults. */
@@ -275,5 +275,5 @@
 }
 
 async function readStoreCalls(cluster: Cluster): Promise<number> {
-  return (await cluster.store.turn<{calls: number}>()).calls;
+  return (await cluster.store.configure<{calls: number}>()).calls;
 }
--- a/bench/experiments/domain-loss.ts
+++ b/bench/experiments/domain-loss.ts
@@ -147,7 +147,7 @@
 
 /** Takes the store down and returns whether an edit is then refused. */
 async function isEditRefusedWithoutStore(cluster: Cluster): Promise<boolean> {
-  await cluster.store.turn({down: true});
+  await cluster.store.configure({down: true});
   const result = await cluster.platform.editor.apply(
     {
       editId: 'without-store',
@@ -157,6 +157,6 @@
     },
     {rebase: true, deadline: cluster.platform.clock.now() + 1_000},
   );
-  await cluster.store.turn({down: false});
+  await cluster.store.configure({down: false});
   return result.isErr();
 }
--- a/bench/experiments/forwarding.ts
+++ b/bench/experiments/forwarding.ts
@@ -4,7 +4,7 @@
 import {XxhashHasher} from '../../src/adapters/xxhash-hasher.js';
 import {PacketKind} from '../../src/generated/packet.js';
 import {EntryKind, FlowTable} from '../../src/routing/flow-table.js';
-import {Knobs} from '../../standins/knobs.js';
+import {StandinControl} from '../../standins/standin-control.js';
 import {Cluster, pause} from '../cluster.js';
 import {fitLine, round} from '../measures.js';
 import {readProcessUsage} from '../process-usage.js';
@@ -40,8 +40,8 @@
 /** The processes of the experiment; daemon and relay are "ip:port". */
 interface Bench {
   readonly cluster: Cluster;
-  readonly sources: readonly Knobs[];
-  readonly sink: Knobs;
+  readonly sources: readonly StandinControl[];
+  readonly sink: StandinControl;
   readonly daemon: string;
   readonly relay: string;
 }
@@ -125,7 +125,7 @@
   program: string,
   args: readonly string[],
   index = 0,
-): Knobs {
+): StandinControl {
   const knobs = cluster.allocateAddress();
   const name = `${program}-${index}`;
   cluster.processes.start(
@@ -133,7 +133,7 @@
     [path.join(PROGRAMS, `${program}.js`), knobs, ...args],
     path.join(cluster.folder, `${name}.log`),
   );
-  return Knobs.create(knobs);
+  return StandinControl.create(knobs);
 }
 
 async function openFlows(
@@ -142,7 +142,7 @@
 ): Promise<void> {
   context.log(`opening ${HELD_FLOWS} flows`);
   const seconds = HELD_FLOWS / OPENS_PER_SECOND;
-  await bench.sources[0].turn({
+  await bench.sources[0].configure({
     target: bench.daemon,
     destination: ADDRESS,
     first: 0,
@@ -181,7 +181,7 @@
 ): Promise<Speed> {
   const pid = bench.cluster.processes.get(process)?.child.pid ?? 0;
   const common = {target, destination: ADDRESS, seconds: MEASURE_SECONDS + 1};
-  const opens = bench.sources[0].turn({
+  const opens = bench.sources[0].configure({
     ...common,
     first: HELD_FLOWS + index * NEW_FLOWS_PER_SECOND * (MEASURE_SECONDS + 1),
     flows: NEW_FLOWS_PER_SECOND * (MEASURE_SECONDS + 1),
@@ -189,7 +189,7 @@
     rate: NEW_FLOWS_PER_SECOND,
   });
   const data = bench.sources.map((source, position) =>
-    source.turn({
+    source.configure({
       ...common,
       first: position * DATA_FLOWS,
       flows: DATA_FLOWS,
@@ -199,11 +199,11 @@
   );
   await Promise.all([opens, ...data]);
   await pause(500);
-  const before = await bench.sink.turn<{packets: number}>();
+  const before = await bench.sink.configure<{packets: number}>();
   const usageBefore = readProcessUsage(pid);
   const startMs = performance.now();
   await pause((MEASURE_SECONDS - 0.5) * 1_000);
-  const after = await bench.sink.turn<{packets: number}>();
+  const after = await bench.sink.configure<{packets: number}>();
   const usageAfter = readProcessUsage(pid);
   const seconds = (performance.now() - startMs) / 1_000;
   await pause(1_500);
--- a/bench/experiments/imbalance.ts
+++ b/bench/experiments/imbalance.ts
@@ -12,7 +12,7 @@
   RoutingRevision,
 } from '../../src/routing/routed-address.js';
 import {MarkState} from '../../src/routing/server-marks.js';
-import {MemoryFleet, packetOf} from '../../standins/memory-fleet.js';
+import {MemoryFleet, createFlowPacket} from '../../standins/memory-fleet.js';
 import {Random} from '../../src/routing/random.js';
 import {computeImbalance, type Imbalance} from '../measures.js';
 import {
@@ -38,7 +38,7 @@
   }
 
   choose(candidates: readonly Candidate[]): number {
-    return candidates[this.random.below(candidates.length)].server;
+    return candidates[this.random.nextInt(candidates.length)].server;
   }
 }
 
@@ -56,7 +56,9 @@
 class LeastLocalPlacement extends Placement {
   choose(candidates: readonly Candidate[]): number {
     return candidates.reduce((best, next) =>
-      next.ownFlows / next.weight < best.ownFlows / best.weight ? next : best,
+      next.localFlows / next.weight < best.localFlows / best.weight
+        ? next
+        : best,
     ).server;
   }
 }
@@ -227,10 +229,10 @@
       addServer(fleet, ids, scenario.weights, share);
     }
     if (scenario.sheds === true && load.crossed(total / 4)) {
-      fleet.mark(ids[0], MarkState.LEAVING, fleet.running);
+      fleet.markServer(ids[0], MarkState.LEAVING, fleet.running);
     }
     if (scenario.sheds === true && load.crossed(total / 2)) {
-      fleet.mark(ids[0], MarkState.LIVE, fleet.running);
+      fleet.markServer(ids[0], MarkState.LIVE, fleet.running);
     }
   }
   await churn(fleet, load, scenario, total);
@@ -295,7 +297,7 @@
 
   close(count: number): void {
     Array.from({length: count}).forEach(() => {
-      const place = this.random.below(this.openFlows.length);
+      const place = this.random.nextInt(this.openFlows.length);
       const flow = this.openFlows[place];
       this.openFlows[place] = this.openFlows[this.openFlows.length - 1];
       this.openFlows.pop();
@@ -312,7 +314,7 @@
   private send(flow: number, kind: PacketKind): void {
     const daemon = this.random.pick(this.fleet.ready);
     if (daemon !== undefined) {
-      this.fleet.hand(daemon, packetOf(flow, kind, DESTINATION));
+      this.fleet.deliver(daemon, createFlowPacket(flow, kind, DESTINATION));
     }
   }
 }
@@ -359,7 +361,7 @@
   share: number,
 ): void {
   const before = createGeneration(1, ids.slice(0, -1), weights, share);
-  fleet.edit(
+  fleet.publishRevision(
     createRevision(2, [
       {...before, endedAtMs: fleet.clock.wall()},
       createGeneration(2, ids, weights, share),
--- a/bench/experiments/membership.ts
+++ b/bench/experiments/membership.ts
@@ -162,7 +162,7 @@
       counts.falseDeaths += turned && member.state === MemberState.DEAD ? 1 : 0;
     }),
   );
-  fleet.network.faults.loss = LOSS_RATE;
+  fleet.network.faults.lossRate = LOSS_RATE;
   await fleet.clock.advance(LOSS_MINUTES * 60_000);
   return {loss: LOSS_RATE, minutes: LOSS_MINUTES, daemons: 8, ...counts};
 }
--- a/bench/experiments/placing.ts
+++ b/bench/experiments/placing.ts
@@ -71,10 +71,10 @@
       TwoChoicesPlacement.create(Random.create(context.seed), loadOf);
     const policies: Readonly<Record<string, () => Placement>> = {
       hash: () => new HashPlacement(),
-      twoByOwn: () => twoChoices(({ownFlows}) => ownFlows),
+      twoByOwn: () => twoChoices(({localFlows: ownFlows}) => ownFlows),
       twoByAll: () => twoChoices(({flows}) => flows),
       twoByBoth: () =>
-        twoChoices(({ownFlows, flows}) => ownFlows * 8 + flows / 8),
+        twoChoices(({localFlows: ownFlows, flows}) => ownFlows * 8 + flows / 8),
       leastByOwn: () => LocalLoadPlacement.create(),
       leastWork: () => LeastLoadedPlacement.create(),
     };
@@ -104,19 +104,21 @@
     hasher,
   );
   for (let call = 0; call < CALLS; call += 1) {
-    simulation.call(PAY, 1, CALL_DEADLINE_MS);
+    simulation.startCaller(PAY, 1, CALL_DEADLINE_MS);
     await simulation.clock.advance(CALL_INTERVALS_MS[load]);
   }
   await simulation.clock.advance(CALL_DEADLINE_MS);
-  const sortedMs = [...simulation.tally.tookMs].sort((a, b) => a - b);
+  const sortedMs = [...simulation.callResults.durationsMs].sort(
+    (a, b) => a - b,
+  );
   const percentile = (share: number) =>
     round(sortedMs[Math.floor(sortedMs.length * share)] ?? 0);
-  const {answered} = simulation.tally.ends;
+  const {answered} = simulation.callResults.outcomes;
   return {
     answeredShare: round(answered / CALLS),
     p50Ms: percentile(0.5),
     p99Ms: percentile(0.99),
-    broken: simulation.broken.length,
+    broken: simulation.violations.length,
   };
 }
 
--- a/bench/experiments/requests-faults.ts
+++ b/bench/experiments/requests-faults.ts
@@ -134,7 +134,7 @@
 
 async function injectFaults(cluster: Cluster): Promise<void> {
   const payments = cluster.listServers('parkwise/meterpay');
-  await cluster.store.turn({loseAnswers: 0.2, slowMs: 5});
+  await cluster.store.configure({loseAnswers: 0.2, slowMs: 5});
   await Promise.all(
     payments.map(id =>
       cluster.controlBackend(id, {
@@ -155,12 +155,12 @@
   await cluster.controlBackend(payments[1], {shedding: true});
   await cluster.controlBackend(payments[2], {draining: true});
   await pause(3_000);
-  await cluster.store.turn({down: true});
+  await cluster.store.configure({down: true});
   await pause(STORE_DOWN_MS / 2);
   const [, second] = [...cluster.daemons.keys()];
   cluster.killDaemon(second);
   await pause(STORE_DOWN_MS / 2);
-  await cluster.store.turn({down: false, loseAnswers: 0, slowMs: 0});
+  await cluster.store.configure({down: false, loseAnswers: 0, slowMs: 0});
   await cluster.controlBackend(payments[1], {shedding: false});
   await cluster.controlBackend(payments[2], {draining: false});
 }
--- a/bench/experiments/store-outage.ts
+++ b/bench/experiments/store-outage.ts
@@ -38,10 +38,10 @@
     await pause(BASELINE_SECONDS * 1_000);
     const busy = (await readStoreCalls(cluster)) - before;
     await waitForRequests(cluster, rate * BASELINE_SECONDS);
-    await cluster.store.turn({down: true});
+    await cluster.store.configure({down: true});
     await cluster.sendRequests(order(OUTAGE_SECONDS));
     await pause(OUTAGE_SECONDS * 1_000);
-    await cluster.store.turn({down: false});
+    await cluster.store.configure({down: false});
     const expected = rate * (BASELINE_SECONDS + OUTAGE_SECONDS);
     const reports = await waitForRequests(cluster, expected);
     const outage = reports[reports.length - 1];
@@ -81,9 +81,9 @@
 };
 
 async function readStoreCalls(cluster: {
-  store: {turn<T>(): Promise<T>};
+  store: {configure<T>(): Promise<T>};
 }): Promise<number> {
-  return (await cluster.store.turn<{calls: number}>()).calls;
+  return (await cluster.store.configure<{calls: number}>()).calls;
 }
 
 async function measureStoreCalls(
--- a/bench/packet-path.ts
+++ b/bench/packet-path.ts
@@ -3,7 +3,7 @@
 import {decodePacket} from '../src/adapters/udp-fabric.js';
 import {Packet, PacketKind} from '../src/generated/packet.js';
 import type {RoutingRevision} from '../src/routing/routed-address.js';
-import {MemoryFleet, packetOf} from '../standins/memory-fleet.js';
+import {MemoryFleet, createFlowPacket} from '../standins/memory-fleet.js';
 
 const FLOWS = 20_000;
 const ROUNDS = 60;
@@ -42,7 +42,9 @@
 /** Decodes and handles one packet per flow and round; returns nanoseconds each. */
 function measurePackets(kind: PacketKind, rounds: number): number {
   const packets = Array.from({length: FLOWS}, (_, flow) =>
-    Buffer.from(Packet.encode(packetOf(flow, kind, DESTINATION)).finish()),
+    Buffer.from(
+      Packet.encode(createFlowPacket(flow, kind, DESTINATION)).finish(),
+    ),
   );
   const startMs = performance.now();
   for (let round = 0; round < rounds; round += 1) {
--- a/bench/processes.ts
+++ b/bench/process-group.ts
@@ -13,18 +13,18 @@
 }
 
 /** Groups with running processes, to be killed when this process exits. */
-const activeGroups = new Set<Processes>();
+const activeGroups = new Set<ProcessGroup>();
 process.on('exit', () => activeGroups.forEach(group => group.killAll()));
 
 /** Child processes of one run, by name. */
-export class Processes {
+export class ProcessGroup {
   private readonly started = new Map<string, StartedProcess>();
 
   private constructor() {}
 
   /** Creates an empty group. */
-  static create(): Processes {
-    return new Processes();
+  static create(): ProcessGroup {
+    return new ProcessGroup();
   }
 
   /** Starts a Node.js program; appends its output to the file `log`. */
--- a/bench/programs/sink.ts
+++ b/bench/programs/sink.ts
@@ -1,6 +1,6 @@
 /** Counts UDP packets at several addresses: `sink.js CONTROL ADDRESS,ADDRESS...`. */
 import {bindUdp} from '../../src/adapters/udp-socket.js';
-import {startStandinServer} from '../../standins/knobs.js';
+import {startStandinServer} from '../../standins/standin-control.js';
 
 const [controlAddress, addresses] = process.argv.slice(2);
 let packets = 0;
--- a/bench/programs/source.ts
+++ b/bench/programs/source.ts
@@ -5,8 +5,8 @@
 import {bindUdp, sendUdp} from '../../src/adapters/udp-socket.js';
 import {Packet, PacketKind} from '../../src/generated/packet.js';
 import {parseSocketAddress} from '../../src/routing/ipv4.js';
-import {startStandinServer} from '../../standins/knobs.js';
-import {packetOf} from '../../standins/memory-fleet.js';
+import {startStandinServer} from '../../standins/standin-control.js';
+import {createFlowPacket} from '../../standins/memory-fleet.js';
 
 const SEND_INTERVAL_MS = 2;
 const BURST_PACKETS = 64;
@@ -39,7 +39,7 @@
   };
   return Array.from({length: order.flows}, (_, index) =>
     Packet.encode(
-      packetOf(order.first + index, order.kind, destination),
+      createFlowPacket(order.first + index, order.kind, destination),
     ).finish(),
   );
 }
--- a/src/adapters/http-client.spec.ts
+++ b/src/adapters/http-client.spec.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import {test} from 'node:test';
 import {HttpClient, HttpFailureKind} from './http-client.js';
-import {plainText, servePlainHttp} from './plain-http-server.js';
+import {createTextResponse, servePlainHttp} from './plain-http-server.js';
 import {SystemClock} from './system-clock.js';
 
 const clock = SystemClock.create();
@@ -30,7 +30,7 @@
     host: HOST,
     port,
     clock,
-    longestBody: MAX_BODY_BYTES,
+    maxBodyBytes: MAX_BODY_BYTES,
   });
   try {
     await run(client);
@@ -99,7 +99,7 @@
     isHung = true;
     const started = clock.now();
     const failed = (await client.get('/', createDeadline()))._unsafeUnwrapErr();
-    assert.equal(failed.kind, HttpFailureKind.SILENT);
+    assert.equal(failed.kind, HttpFailureKind.TIMED_OUT);
     assert.ok(clock.now() - started < DEADLINE_MS * 1.5);
     // The second old connection hangs too and must not be used again.
     assert.ok((await client.get('/', createDeadline())).isOk());
@@ -142,7 +142,7 @@
     await new Promise(resolve =>
       setTimeout(resolve, target === '/slow' ? 20 : 0),
     );
-    return target === '/none' ? undefined : plainText(200, target);
+    return target === '/none' ? undefined : createTextResponse(200, target);
   });
   const socket = net.connect(port, HOST);
   const request = (target: string) =>
@@ -189,7 +189,7 @@
     const failure = (
       await client.get('/', createDeadline())
     )._unsafeUnwrapErr();
-    assert.equal(failure.kind, HttpFailureKind.SILENT);
+    assert.equal(failure.kind, HttpFailureKind.TIMED_OUT);
     const tookMs = clock.now() - startedAt;
     assert.ok(tookMs > DEADLINE_MS && tookMs < 1_300, String(tookMs));
   });
--- a/src/adapters/http-client.ts
+++ b/src/adapters/http-client.ts
@@ -18,7 +18,7 @@
   /** The connection was refused, reset or closed early. */
   DISCONNECTED: 'disconnected',
   /** No complete response in time. */
-  SILENT: 'silent',
+  TIMED_OUT: 'silent',
   /** The response is not valid HTTP, or its body is too large. */
   MALFORMED: 'malformed',
 } as const;
@@ -52,7 +52,7 @@
 const MAX_RECEIVE_OVERRUN_MS = 10_000;
 
 /** The response to a call. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -64,7 +64,7 @@
   readonly port: number;
   readonly clock: Clock;
   /** Largest response body that is accepted, in bytes. */
-  readonly longestBody: number;
+  readonly maxBodyBytes: number;
 }
 
 /** HTTP client with kept-alive connections to one address. */
@@ -81,7 +81,7 @@
   }
 
   /** Sends a GET request; `deadline` is in monotonic milliseconds. */
-  get(path: string, deadline: number): ResultAsync<HttpAnswer, HttpFailure> {
+  get(path: string, deadline: number): ResultAsync<HttpResponse, HttpFailure> {
     return new ResultAsync(this.call(`GET ${path}`, '', deadline));
   }
 
@@ -90,7 +90,7 @@
     path: string,
     body: object,
     deadline: number,
-  ): ResultAsync<HttpAnswer, HttpFailure> {
+  ): ResultAsync<HttpResponse, HttpFailure> {
     const text = JSON.stringify(body);
     return new ResultAsync(this.call(`POST ${path}`, text, deadline));
   }
@@ -142,7 +142,7 @@
         timer = clock.callAt(giveUpAtMs, expire);
       } else {
         connection.fail(
-          HttpFailureKind.SILENT,
+          HttpFailureKind.TIMED_OUT,
           'no complete response before the deadline',
         );
       }
@@ -174,7 +174,7 @@
     private readonly options: HttpClientOptions,
     onClose: () => void,
   ) {
-    const {host, port, longestBody} = options;
+    const {host, port, maxBodyBytes: longestBody} = options;
     this.socket = net.connect({host, port, noDelay: true});
     this.parser = HttpMessageParser.create({
       sender: HttpSide.SERVER,
--- a/src/adapters/script-xxhash-hasher.ts
+++ b/src/adapters/js-xxhash-hasher.ts
@@ -7,14 +7,14 @@
 import {Hasher} from '../ports/hasher.js';
 
 /** Hasher that uses the js-xxhash library. */
-export class ScriptXxhashHasher extends Hasher {
+export class JsXxhashHasher extends Hasher {
   private constructor() {
     super();
   }
 
   /** Creates a hasher. */
-  static create(): ScriptXxhashHasher {
-    return new ScriptXxhashHasher();
+  static create(): JsXxhashHasher {
+    return new JsXxhashHasher();
   }
 
   hashBytes(bytes: Uint8Array, seed: number): number {
--- a/src/adapters/memory-counters.ts
+++ b/src/adapters/memory-counters.ts
@@ -8,7 +8,7 @@
 ];
 
 /** The prom-client module. */
-export type TextWriter = typeof prometheus;
+export type PrometheusClient = typeof prometheus;
 
 /** Counters, gauges and histograms of one process. */
 export class MemoryCounters extends Counters {
@@ -18,7 +18,7 @@
   private readonly histograms = new Map<Metric, number[]>();
 
   private constructor(
-    private readonly loadPrometheus: () => Promise<TextWriter>,
+    private readonly loadPrometheus: () => Promise<PrometheusClient>,
   ) {
     super();
   }
@@ -28,7 +28,8 @@
    * which keeps prom-client out of the start-up path.
    */
   static create(
-    loadPrometheus: () => Promise<TextWriter> = () => import('prom-client'),
+    loadPrometheus: () => Promise<PrometheusClient> = () =>
+      import('prom-client'),
   ): MemoryCounters {
     return new MemoryCounters(loadPrometheus);
   }
@@ -72,7 +73,7 @@
 }
 
 function registerCounter(
-  {Counter}: TextWriter,
+  {Counter}: PrometheusClient,
   registry: prometheus.Registry,
   metric: Metric,
   value: number,
@@ -82,7 +83,7 @@
 }
 
 function registerGauge(
-  {Gauge}: TextWriter,
+  {Gauge}: PrometheusClient,
   registry: prometheus.Registry,
   metric: Metric,
   value: number,
@@ -93,7 +94,7 @@
 
 /** Registers cumulative bucket counts: for each bound, the observations up to it. */
 function registerHistogram(
-  {Gauge}: TextWriter,
+  {Gauge}: PrometheusClient,
   registry: prometheus.Registry,
   metric: Metric,
   counts: readonly number[],
--- a/src/adapters/datagram-fleet.spec.ts
+++ b/src/adapters/network-fleet-channel.spec.ts
@@ -4,7 +4,7 @@
 import {test} from 'node:test';
 import type {Beat} from '../generated/catalog.js';
 import {Metric} from '../ports/counters.js';
-import {DatagramFleet} from './datagram-fleet.js';
+import {NetworkFleetChannel} from './network-fleet-channel.js';
 import {MemoryCounters} from './memory-counters.js';
 import {MemoryLog} from '../../standins/memory-log.js';
 import {SystemClock} from './system-clock.js';
@@ -33,7 +33,7 @@
 function createFleet(address: number) {
   const counters = MemoryCounters.create();
   const log = MemoryLog.create('test');
-  const fleet = DatagramFleet.create({
+  const fleet = NetworkFleetChannel.create({
     address,
     port: PORT,
     clock,
--- a/src/adapters/datagram-fleet.ts
+++ b/src/adapters/network-fleet-channel.ts
@@ -15,11 +15,11 @@
 import type {Log} from '../ports/log.js';
 import {PeerUnavailable} from '../ports/peers.js';
 import {formatIpv4, parseIpv4} from '../routing/ipv4.js';
-import {HttpClient, type HttpAnswer} from './http-client.js';
+import {HttpClient, type HttpResponse} from './http-client.js';
 import {
   HttpStatus,
   servePlainHttp,
-  type PlainAnswer,
+  type PlainResponse,
 } from './plain-http-server.js';
 import {bindUdp} from './udp-socket.js';
 
@@ -27,7 +27,7 @@
 /** Largest response to a pull that is accepted: about 20,000 servers. */
 const MAX_UPDATE_BYTES = 4 * 1_024 * 1_024;
 
-export interface DatagramFleetOptions {
+export interface NetworkFleetChannelOptions {
   /** IPv4 address of this instance, as a number. */
   readonly address: number;
   /** UDP and TCP port, the same on all daemons. */
@@ -38,18 +38,18 @@
 }
 
 /** The channel between one daemon and its peers. */
-export class DatagramFleet extends FleetChannel {
+export class NetworkFleetChannel extends FleetChannel {
   private socket: dgram.Socket | undefined;
   private stopServing: () => void = () => undefined;
   private handlers: FleetHandlers | undefined;
 
-  private constructor(private readonly options: DatagramFleetOptions) {
+  private constructor(private readonly options: NetworkFleetChannelOptions) {
     super();
   }
 
   /** Creates a channel; `serve` opens its socket. */
-  static create(options: DatagramFleetOptions): DatagramFleet {
-    return new DatagramFleet(options);
+  static create(options: NetworkFleetChannelOptions): NetworkFleetChannel {
+    return new NetworkFleetChannel(options);
   }
 
   async serve(handlers: FleetHandlers): Promise<void> {
@@ -100,7 +100,7 @@
       host,
       port,
       clock,
-      longestBody: MAX_UPDATE_BYTES,
+      maxBodyBytes: MAX_UPDATE_BYTES,
     });
     return client
       .get(`${PULL_PATH}?${query.toString()}`, deadline)
@@ -144,7 +144,10 @@
 }
 
 /** Decodes the response to a pull; the error is the cause as text. */
-function readUpdate({status, body}: HttpAnswer): Result<CatalogUpdate, string> {
+function readUpdate({
+  status,
+  body,
+}: HttpResponse): Result<CatalogUpdate, string> {
   const update = decodeUpdate(body);
   return status !== HttpStatus.OK || update === undefined
     ? err(`no catalog update in the response: status ${status}`)
@@ -154,7 +157,7 @@
 function answerPull(
   handlers: FleetHandlers | undefined,
   target: string,
-): PlainAnswer | undefined {
+): PlainResponse | undefined {
   const [path, query] = target.split('?');
   if (path !== PULL_PATH || handlers === undefined) {
     return undefined;
--- a/src/adapters/plain-http-server.ts
+++ b/src/adapters/plain-http-server.ts
@@ -24,7 +24,7 @@
 };
 
 /** The response of a handler. */
-export interface PlainAnswer {
+export interface PlainResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string | Uint8Array;
@@ -33,10 +33,13 @@
 /** Handles a path with its query; undefined sends 404. */
 export type PathHandler = (
   target: string,
-) => PlainAnswer | undefined | Promise<PlainAnswer | undefined>;
+) => PlainResponse | undefined | Promise<PlainResponse | undefined>;
 
 /** Creates a plain-text response. */
-export function plainText(status: number, body: string): PlainAnswer {
+export function createTextResponse(
+  status: number,
+  body: string,
+): PlainResponse {
   return {status, contentType: 'text/plain', body};
 }
 
@@ -94,7 +97,7 @@
     const given = await handle(target);
     writeResponse(
       socket,
-      given ?? plainText(HttpStatus.NOT_FOUND, ''),
+      given ?? createTextResponse(HttpStatus.NOT_FOUND, ''),
       keepsAlive,
     );
   } catch {
@@ -104,7 +107,7 @@
 
 function writeResponse(
   socket: net.Socket,
-  {status, contentType, body}: PlainAnswer,
+  {status, contentType, body}: PlainResponse,
   keepsAlive: boolean,
 ): void {
   const bytes = typeof body === 'string' ? Buffer.from(body) : body;
--- a/src/adapters/ring-timeline.ts
+++ b/src/adapters/ring-timeline.ts
@@ -3,7 +3,7 @@
 import {
   Timeline,
   type EventKind,
-  type Stamp,
+  type HybridTimestamp,
   type TimelineRecord,
 } from '../ports/timeline.js';
 
@@ -12,7 +12,7 @@
 /** Timeline of one process. */
 export class RingTimeline extends Timeline {
   private records: TimelineRecord[] = [];
-  private stamp: Stamp = {physicalMs: 0, logical: 0};
+  private stamp: HybridTimestamp = {physicalMs: 0, logical: 0};
 
   private constructor(
     private readonly process: string,
@@ -38,7 +38,7 @@
     }
   }
 
-  observe(stamp: Stamp): void {
+  observe(stamp: HybridTimestamp): void {
     const later =
       stamp.physicalMs > this.stamp.physicalMs ||
       (stamp.physicalMs === this.stamp.physicalMs &&
@@ -51,7 +51,7 @@
   }
 
   /** Returns the wall clock, or the next logical step when that is not ahead of `stamp`. */
-  private nextStamp(stamp: Stamp): Stamp {
+  private nextStamp(stamp: HybridTimestamp): HybridTimestamp {
     const wall = this.clock.wall();
     return wall > stamp.physicalMs
       ? {physicalMs: wall, logical: 0}
--- a/src/adapters/tcp-contact.spec.ts
+++ b/src/adapters/tcp-contact.spec.ts
@@ -3,7 +3,7 @@
 import net, {type AddressInfo} from 'node:net';
 import {test} from 'node:test';
 import {Worker} from 'node:worker_threads';
-import {ContactResult} from '../ports/server-contact.js';
+import {ProbeResult} from '../ports/server-prober.js';
 import {SystemClock} from './system-clock.js';
 import {TcpContact} from './tcp-contact.js';
 
@@ -25,11 +25,11 @@
   const port = await listen(server);
   const startedAt = clock.now();
   const deadline = startedAt + 5_000;
-  const taken = await contact.reach({address: LOOPBACK, port}, deadline);
+  const taken = await contact.probe({address: LOOPBACK, port}, deadline);
   await new Promise(resolve => server.close(resolve));
-  const refused = await contact.reach({address: LOOPBACK, port}, deadline);
-  assert.equal(taken, ContactResult.REACHED);
-  assert.equal(refused, ContactResult.REACHED);
+  const refused = await contact.probe({address: LOOPBACK, port}, deadline);
+  assert.equal(taken, ProbeResult.REACHED);
+  assert.equal(refused, ProbeResult.REACHED);
   assert.ok(clock.now() - startedAt < 2_000);
 });
 
@@ -59,7 +59,7 @@
   const startedAt = clock.now();
   const deadline = startedAt + CONTACT_TIMEOUT_MS;
   const contact = TcpContact.create(clock);
-  const result = await contact.reach({address: LOOPBACK, port}, deadline);
-  assert.equal(result, ContactResult.SILENT);
+  const result = await contact.probe({address: LOOPBACK, port}, deadline);
+  assert.equal(result, ProbeResult.TIMEOUT);
   assert.ok(clock.now() - startedAt >= CONTACT_TIMEOUT_MS - 1);
 });
--- a/src/adapters/tcp-contact.ts
+++ b/src/adapters/tcp-contact.ts
@@ -4,7 +4,7 @@
  */
 import net from 'node:net';
 import type {Clock} from '../ports/clock.js';
-import {ContactResult, ServerContact} from '../ports/server-contact.js';
+import {ProbeResult, ServerProber} from '../ports/server-prober.js';
 import {formatIpv4} from '../routing/ipv4.js';
 
 /**
@@ -15,7 +15,7 @@
 const ATTEMPT_START_FRACTIONS: readonly number[] = [0, 0.4, 0.8];
 
 /** Probes servers from this process. */
-export class TcpContact extends ServerContact {
+export class TcpContact extends ServerProber {
   private constructor(private readonly clock: Clock) {
     super();
   }
@@ -25,27 +25,27 @@
     return new TcpContact(clock);
   }
 
-  async reach(
+  async probe(
     {address, port}: {address: number; port: number},
     deadline: number,
-  ): Promise<ContactResult> {
+  ): Promise<ProbeResult> {
     const {clock} = this;
     const begin = clock.now();
     const sockets: net.Socket[] = [];
-    const result = await new Promise<ContactResult>(resolve => {
+    const result = await new Promise<ProbeResult>(resolve => {
       const connect = () => {
         const socket = net.connect({host: formatIpv4(address), port});
         sockets.push(socket);
-        socket.once('connect', () => resolve(ContactResult.REACHED));
+        socket.once('connect', () => resolve(ProbeResult.REACHED));
         // A refusal proves that the host is up; other errors are no evidence that it is down.
-        socket.on('error', () => resolve(ContactResult.REACHED));
+        socket.on('error', () => resolve(ProbeResult.REACHED));
       };
       const timers = ATTEMPT_START_FRACTIONS.map(share =>
         clock.callAt(begin + (deadline - begin) * share, connect),
       );
       clock.callAt(deadline, () => {
         timers.forEach(timer => timer.cancel());
-        resolve(ContactResult.SILENT);
+        resolve(ProbeResult.TIMEOUT);
       });
     });
     sockets.forEach(socket => socket.destroy());
--- a/src/admission/dispatcher.ts
+++ b/src/admission/dispatcher.ts
@@ -50,7 +50,7 @@
   readonly counters: Counters;
   readonly backends: BackendServers;
   /** Maximum number of queued requests per workspace. */
-  readonly queueBound: number;
+  readonly queueCapacity: number;
   /** Tokens that each request adds to the retry budget, 0 to 1. */
   readonly retryShare: number;
 }
@@ -83,7 +83,7 @@
 
   private constructor(private readonly options: DispatcherOptions) {
     this.slotEstimates = SlotEstimates.create(options);
-    this.queue = RequestQueue.create(options.queueBound);
+    this.queue = RequestQueue.create(options.queueCapacity);
     this.retryBudget = RetryBudget.create(options.retryShare);
   }
 
@@ -139,7 +139,7 @@
    * that workspaces are served round-robin.
    */
   private estimateWaitMs(workspace: string): number {
-    const otherWorkspaces = Math.max(0, this.queue.workspaces - 1);
+    const otherWorkspaces = Math.max(0, this.queue.workspaceCount - 1);
     const aheadAtMost = this.queue.sizeOf(workspace) * (otherWorkspaces + 1);
     const ahead = Math.min(this.queue.size, aheadAtMost);
     const slots = Math.max(1, this.slotEstimates.assignedSlots);
--- a/src/admission/key-ranges.ts
+++ b/src/admission/key-ranges.ts
@@ -48,7 +48,7 @@
 /** The state of one range at this daemon. */
 export interface KeyRange {
   readonly range: number;
-  readonly memory: IdempotencyKeys;
+  readonly keys: IdempotencyKeys;
   /** End of the lease in monotonic milliseconds; 0 when it is not held. */
   leaseDeadline: number;
   /** Whether the records of the last holder are merged and the backup is set. */
@@ -87,7 +87,7 @@
   private constructor(private readonly options: KeyRangesOptions) {
     this.ranges = Array.from({length: RANGE_COUNT}, (_, range) => ({
       range,
-      memory: IdempotencyKeys.create(options.clock, MAX_KEYS_PER_RANGE),
+      keys: IdempotencyKeys.create(options.clock, MAX_KEYS_PER_RANGE),
       leaseDeadline: 0,
       isReady: false,
       backup: '',
@@ -298,7 +298,7 @@
     }
     const deadline = clock.now() + PEER_CALL_TIMEOUT_MS;
     const response = await peers.pullKeys(address, range.range, deadline);
-    response.map(records => range.memory.merge(records));
+    response.map(records => range.keys.merge(records));
     return response.isOk();
   }
 
@@ -308,7 +308,7 @@
    */
   private async chooseBackup(range: KeyRange): Promise<string | undefined> {
     const candidates = this.options.view.backupsOf(range.range);
-    const records = range.memory.records();
+    const records = range.keys.records();
     const chosen = await candidates.reduce<Promise<string | undefined>>(
       async (earlier, run) =>
         (await earlier) ??
--- a/src/admission/leased-key-guard.ts
+++ b/src/admission/leased-key-guard.ts
@@ -86,7 +86,7 @@
     if (!usable) {
       return createOutcome(OutcomeReason.KEY_RANGE_NOT_HELD, RETRY_AFTER_MS);
     }
-    const recorded = range.memory.get(request.key);
+    const recorded = range.keys.get(request.key);
     if (recorded !== undefined) {
       return outcomeForResend(recorded.reply);
     }
@@ -94,7 +94,7 @@
     if (rejection !== undefined) {
       return rejection;
     }
-    if (!range.memory.hasRoom()) {
+    if (!range.keys.hasRoom()) {
       return createOutcome(OutcomeReason.QUEUE_FULL, RETRY_AFTER_MS);
     }
     range.runningRequests += 1;
@@ -108,13 +108,13 @@
     request: GuardedRequest,
     range: KeyRange,
   ): Promise<Outcome> {
-    range.memory.set(request.key, undefined);
+    range.keys.set(request.key, undefined);
     const replicated = await this.ranges.replicateRecord(
       range,
       createPendingRecord(request.key),
     );
     if (!replicated) {
-      range.memory.remove(request.key);
+      range.keys.remove(request.key);
       return createOutcome(OutcomeReason.KEY_RANGE_NOT_HELD, RETRY_AFTER_MS);
     }
     const outcome = await request.execute(() =>
@@ -124,9 +124,9 @@
     const mayHaveRun = reply.status !== RequestStatus.NOT_RUN;
     const answer = reply.status === RequestStatus.ANSWERED ? reply : undefined;
     if (mayHaveRun) {
-      range.memory.set(request.key, answer);
+      range.keys.set(request.key, answer);
     } else {
-      range.memory.remove(request.key);
+      range.keys.remove(request.key);
     }
     void this.ranges.replicateRecord(range, {
       ...createPendingRecord(request.key),
--- a/src/admission/request-entry.ts
+++ b/src/admission/request-entry.ts
@@ -63,7 +63,7 @@
   }
 
   /** Number of requests that have not ended. */
-  get count(): number {
+  get inFlightCount(): number {
     return this.running;
   }
 
--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -34,7 +34,7 @@
   }
 
   /** Number of workspaces with queued requests. */
-  get workspaces(): number {
+  get workspaceCount(): number {
     return this.queues.size;
   }
 
--- a/src/admission/requests.spec.ts
+++ b/src/admission/requests.spec.ts
@@ -84,18 +84,18 @@
       fleet.crash(step.pick);
       break;
     case 'split':
-      fleet.split(step.pick);
+      fleet.hideAllPeers(step.pick);
       break;
     case 'agree':
-      fleet.agree();
+      fleet.restoreViews();
       break;
     case 'store':
-      fleet.store.down = step.down;
-      fleet.store.loseAnswers = step.lose;
+      fleet.store.isDown = step.down;
+      fleet.store.lostAnswerRate = step.lose;
       break;
     case 'servers':
-      fleet.backends.lostAnswers = step.lose;
-      fleet.backends.truncatedAnswers = step.cut;
+      fleet.backends.lostAnswerRate = step.lose;
+      fleet.backends.truncatedAnswerRate = step.cut;
       break;
     case 'wait':
       await fleet.clock.advance(step.ms);
@@ -126,12 +126,12 @@
   );
   fleet.replies.forEach(({key, reply}) => {
     const runs = fleet.backends.runs.get(key) ?? 0;
-    if (reply.status === RequestStatus.NOT_RUN && !fleet.wasSentAgain(key)) {
+    if (reply.status === RequestStatus.NOT_RUN && !fleet.wasResent(key)) {
       assert.equal(runs, 0, `${key}: "not run" (${reply.reason}), but it ran`);
     }
     if (reply.status === RequestStatus.ANSWERED) {
       assert.equal(runs, 1, `${key}: answered without a run`);
-      assert.equal(reply.body.toString(), fleet.backends.answerTo(key));
+      assert.equal(reply.body.toString(), fleet.backends.createAnswer(key));
     }
   });
 }
--- a/src/catalog/catalog-exchange.ts
+++ b/src/catalog/catalog-exchange.ts
@@ -7,7 +7,7 @@
 import type {FleetChannel, HeldVersions} from '../ports/fleet-channel.js';
 import type {Log} from '../ports/log.js';
 import {formatIpv4} from '../routing/ipv4.js';
-import {applyUpdate, updateFor} from './catalog-messages.js';
+import {applyUpdate, createUpdate} from './catalog-messages.js';
 import type {Catalog} from './catalog.js';
 import {CatalogTransferLimiter} from './catalog-transfer-limiter.js';
 
@@ -65,7 +65,7 @@
   answerPull(held: HeldVersions): CatalogUpdate {
     const {catalog, clock} = this.options;
     const now = clock.now();
-    const update = updateFor(catalog, held, now);
+    const update = createUpdate(catalog, held, now);
     const size = {
       routes: update.routes?.routes.length ?? 0,
       servers: update.servers?.servers.length ?? 0,
--- a/src/catalog/catalog-gossip.ts
+++ b/src/catalog/catalog-gossip.ts
@@ -11,7 +11,7 @@
 import type {FleetChannel} from '../ports/fleet-channel.js';
 import type {Log} from '../ports/log.js';
 import {formatIpv4} from '../routing/ipv4.js';
-import {ContactResult} from '../ports/server-contact.js';
+import {ProbeResult} from '../ports/server-prober.js';
 import type {ServerReachability} from '../reachability/server-reachability.js';
 import type {Random} from '../routing/random.js';
 import {
@@ -74,7 +74,7 @@
   /** Called when a peer becomes a reader of the source, tries to, or ceases to be one. */
   onElectionChange(): void;
   /** Called with the server load that a peer reports. */
-  onWork(sender: number, work: readonly ServerWork[]): void;
+  onLoadReport(sender: number, work: readonly ServerWork[]): void;
 }
 
 /** Exchanges heartbeats and catalog updates with the peers of one daemon. */
@@ -136,14 +136,18 @@
   }
 
   /** Asks daemons to check whether they can reach a server. */
-  ask(daemons: readonly number[], server: string): void {
+  requestReachabilityCheck(daemons: readonly number[], server: string): void {
     const heartbeat = {...this.createHeartbeat(false), reachAsks: [server]};
     daemons.forEach(address => this.send(address, heartbeat));
   }
 
   /** Sends the result of a reachability check to the daemon that asked for it. */
-  vote(daemon: number, server: string, result: ContactResult): void {
-    const reached = result === ContactResult.REACHED;
+  sendReachabilityVote(
+    daemon: number,
+    server: string,
+    result: ProbeResult,
+  ): void {
+    const reached = result === ProbeResult.REACHED;
     this.send(daemon, {
       ...this.createHeartbeat(false),
       reachVotes: [{server, reached}],
@@ -314,7 +318,7 @@
       this.recordSender(sender, heartbeat.sender, heartbeat.hello, now);
     }
     heartbeat.peers.forEach(entry => peers.merge(entry, now));
-    this.options.onWork(sender, heartbeat.work);
+    this.options.onLoadReport(sender, heartbeat.work);
     this.handleReachabilityChecks(sender, heartbeat);
     const gainMs = Math.max(
       this.confirmCatalog(heartbeat, now),
@@ -443,12 +447,14 @@
   /** Handles requests for reachability checks, and the results of own requests. */
   private handleReachabilityChecks(sender: number, heartbeat: Beat): void {
     const {reach} = this.options;
-    heartbeat.reachAsks.forEach(server => void reach.onAsk(sender, server));
+    heartbeat.reachAsks.forEach(
+      server => void reach.onProbeRequest(sender, server),
+    );
     heartbeat.reachVotes.forEach(({server, reached}) =>
       reach.onVote(
         sender,
         server,
-        reached ? ContactResult.REACHED : ContactResult.SILENT,
+        reached ? ProbeResult.REACHED : ProbeResult.TIMEOUT,
       ),
     );
   }
@@ -457,7 +463,7 @@
   private mergeReachabilityFindings(heartbeat: Beat, now: number): number {
     const {reach} = this.options;
     const changes = heartbeat.reachNews.filter(({ageMs, ...finding}) =>
-      reach.hear({...finding, at: now - ageMs}),
+      reach.mergeFinding({...finding, at: now - ageMs}),
     );
     return changes.length > 0 ? Infinity : 0;
   }
--- a/src/catalog/catalog-messages.ts
+++ b/src/catalog/catalog-messages.ts
@@ -61,7 +61,7 @@
 };
 
 /** Builds the update that brings a daemon with the held versions up to date. */
-export function updateFor(
+export function createUpdate(
   catalog: Catalog,
   held: HeldVersions,
   now: number,
@@ -98,7 +98,7 @@
 
 /** Encodes a whole catalog for daemons that start. */
 export function encodeSnapshot(catalog: Catalog, now: number): Uint8Array {
-  return CatalogUpdate.encode(updateFor(catalog, NO_VERSIONS, now)).finish();
+  return CatalogUpdate.encode(createUpdate(catalog, NO_VERSIONS, now)).finish();
 }
 
 /** The inverse of `encodeSnapshot`; the error is the cause as text. */
@@ -128,16 +128,16 @@
   const confirmedAt = now - list.ageMs;
   const listing = decodeServerList(list, now);
   if (whole) {
-    catalog.takeServers(listing, confirmedAt);
+    catalog.applyServers(listing, confirmedAt);
   } else {
     const {servers: written, unreadable} = listing;
     const changes = {written, unreadable, removed};
-    catalog.takeServerChanges(changes, {revision, evacuated}, confirmedAt);
+    catalog.applyServerChanges(changes, {revision, evacuated}, confirmedAt);
   }
 }
 
 function applyRouteList(catalog: Catalog, list: RouteList, now: number): void {
-  catalog.takeRoutes(decodeRouteList(list), now - list.ageMs);
+  catalog.applyRoutes(decodeRouteList(list), now - list.ageMs);
 }
 
 function decodeServerList(list: ServerList, now: number): ServerListing {
--- a/src/catalog/catalog-reader.ts
+++ b/src/catalog/catalog-reader.ts
@@ -153,7 +153,7 @@
   }
 
   /** Recomputes when to read, after the reader statuses have changed. */
-  lookAgain(): void {
+  reschedule(): void {
     this.wake();
   }
 
@@ -187,7 +187,7 @@
     this.staleReadSentAt = undefined;
     const reading = snapshot.unwrapOr(undefined);
     if (reading !== undefined && !this.stopped) {
-      catalog.takeOld(reading, sentAt);
+      catalog.applyStale(reading, sentAt);
       this.startsFromStale = false;
       this.recordSuccess(true);
       await this.pauseAfterRead(true);
@@ -291,7 +291,7 @@
     this.staleReadSentAt = undefined;
     return reading.match(
       read => {
-        catalog.takeOld(read, sentAt);
+        catalog.applyStale(read, sentAt);
         this.startsFromStale = false;
         return undefined;
       },
@@ -319,9 +319,9 @@
   private applyReading(reading: CatalogReading, sentAt: number): undefined {
     const {catalog} = this.options;
     if (reading.routes !== undefined) {
-      catalog.takeRoutes(reading.routes, sentAt);
+      catalog.applyRoutes(reading.routes, sentAt);
     }
-    catalog.takeServers(reading.servers, sentAt);
+    catalog.applyServers(reading.servers, sentAt);
     this.needsFullRead = false;
   }
 
@@ -341,7 +341,7 @@
     if (isEmpty) {
       catalog.confirmAll(sentAt);
     } else {
-      catalog.takeEvents(events, clock.now());
+      catalog.applyEvents(events, clock.now());
     }
   }
 
--- a/src/catalog/catalog.spec.ts
+++ b/src/catalog/catalog.spec.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
-import {applyUpdate, updateFor} from './catalog-messages.js';
+import {applyUpdate, createUpdate} from './catalog-messages.js';
 import {Catalog} from './catalog.js';
 import type {CatalogServer, DomainChange, ServerState} from './records.js';
 import {createRoute} from '../../standins/catalog-records.js';
@@ -52,9 +52,9 @@
   const catalog = createCatalog();
   const old = createServer('i-1', 1, {address: 7});
   const next = createServer('i-2', 2, {address: 7, service: 'docs'});
-  catalog.takeServers({revision: 1, servers: [old], evacuated: []}, 0);
+  catalog.applyServers({revision: 1, servers: [old], evacuated: []}, 0);
   assert.equal(catalog.hasEnded(old), false);
-  catalog.takeServers({revision: 2, servers: [old, next], evacuated: []}, 500);
+  catalog.applyServers({revision: 2, servers: [old, next], evacuated: []}, 500);
   assert.equal(catalog.hasEnded(old), true);
   assert.equal(catalog.hasEnded(next), false);
   assert.deepEqual(openIds(catalog), []);
@@ -64,15 +64,15 @@
   const catalog = createCatalog();
   const expired = createServer('i-1', 1, {address: 7});
   const other = createServer('i-2', 2, {address: 8});
-  catalog.takeServers(
+  catalog.applyServers(
     {revision: 2, servers: [expired, other], evacuated: []},
     0,
   );
   // After a store outage the entry may have expired although its server is alive.
-  catalog.takeServers({revision: 5, servers: [other], evacuated: []}, 10_000);
+  catalog.applyServers({revision: 5, servers: [other], evacuated: []}, 10_000);
   assert.deepEqual(openIds(catalog), ['i-1', 'i-2']);
   const next = createServer('i-3', 6, {address: 7, service: 'docs'});
-  catalog.takeEvents(
+  catalog.applyEvents(
     {revision: 6, routes: undefined, written: [next], removed: [], domains: []},
     10_200,
   );
@@ -111,12 +111,12 @@
           });
         const catalog = createCatalog();
         const from = Math.min(start, events.length);
-        catalog.takeServers(
+        catalog.applyServers(
           {revision: from, servers: listed(from), evacuated: []},
           0,
         );
         const feed = (after: number) =>
-          catalog.takeEvents(
+          catalog.applyEvents(
             {
               revision: events.length,
               routes: undefined,
@@ -160,14 +160,14 @@
 test('a daemon that pulls from a peer has an equal catalog', () => {
   const holder = createCatalog();
   const route = createRoute('docs', {address: 1, port: 2, repeatable: true});
-  holder.takeRoutes({version: 2, routes: [route], coldServices: []}, 1_000);
+  holder.applyRoutes({version: 2, routes: [route], coldServices: []}, 1_000);
   const servers = [
     createServer('i-1', 3),
     createServer('i-2', 4, {state: 'draining'}),
   ];
-  holder.takeServers({revision: 9, servers, evacuated: []}, 1_500);
+  holder.applyServers({revision: 9, servers, evacuated: []}, 1_500);
   const puller = createCatalog();
-  applyUpdate(puller, updateFor(holder, EMPTY_STATE, 2_000), 7_000);
+  applyUpdate(puller, createUpdate(holder, EMPTY_STATE, 2_000), 7_000);
   const {routesConfirmedAt, serversConfirmedAt, ...held} = puller.stamp;
   const {stamp} = holder;
   assert.deepEqual(held, {
@@ -179,7 +179,7 @@
   assert.equal(serversConfirmedAt, 6_500);
   const [pulled] = puller.allRoutes();
   assert.deepEqual([...pulled.allowedServices], ['docs']);
-  assert.deepEqual(updateFor(holder, {...EMPTY_STATE, ...held}, 0), {
+  assert.deepEqual(createUpdate(holder, {...EMPTY_STATE, ...held}, 0), {
     routes: undefined,
     servers: undefined,
     other: 0,
@@ -189,8 +189,8 @@
 
 test("a peer's revision is not adopted before its routes are", () => {
   const catalog = createCatalog();
-  catalog.takeServers({revision: 5, servers: [], evacuated: []}, 0);
-  catalog.takeRoutes({version: 1, routes: [], coldServices: []}, 0);
+  catalog.applyServers({revision: 5, servers: [], evacuated: []}, 0);
+  catalog.applyRoutes({version: 1, routes: [], coldServices: []}, 0);
   const digest = catalog.stamp.serverDigest;
   catalog.confirmServers({revision: 9, digest, routeVersion: 2}, 100);
   assert.equal(catalog.stamp.serverRevision, 5);
@@ -225,10 +225,10 @@
         const holder = createCatalog();
         const none = {servers: [], evacuated: []};
         [catalog, holder].forEach(each =>
-          each.takeServers({revision: 1, ...none}, 0),
+          each.applyServers({revision: 1, ...none}, 0),
         );
         const feed = (to: Catalog, from: number, upTo: number) =>
-          to.takeEvents(
+          to.applyEvents(
             {
               revision: upTo + 1,
               routes: undefined,
@@ -247,7 +247,7 @@
         const {serverRevision, serverDigest} = catalog.stamp;
         const from = isFullPull ? 0 : serverRevision;
         const held = {...EMPTY_STATE, serverRevision: from, serverDigest};
-        applyUpdate(catalog, updateFor(holder, held, 2), 2);
+        applyUpdate(catalog, createUpdate(holder, held, 2), 2);
         const expected = evacuatedAfter(changes);
         assert.deepEqual(catalog.evacuatedDomains().sort(), expected);
         assert.equal(catalog.stamp.serverDigest, holder.stamp.serverDigest);
@@ -261,7 +261,7 @@
   const [unevacuated, evacuated] = [[], ['a']].map(domains => {
     const catalog = createCatalog();
     const servers = [createServer('i-1', 1)];
-    catalog.takeServers({revision: 1, servers, evacuated: domains}, 0);
+    catalog.applyServers({revision: 1, servers, evacuated: domains}, 0);
     return catalog;
   });
   assert.notEqual(unevacuated.stamp.serverDigest, evacuated.stamp.serverDigest);
@@ -271,10 +271,10 @@
   const holder = createCatalog();
   const late = createCatalog();
   const servers = [createServer('i-1', 1)];
-  holder.takeServers({revision: 5, servers, evacuated: []}, 0);
-  late.takeServers({revision: 3, servers, evacuated: ['a']}, 0);
+  holder.applyServers({revision: 5, servers, evacuated: []}, 0);
+  late.applyServers({revision: 3, servers, evacuated: ['a']}, 0);
   const held = {...EMPTY_STATE, serverRevision: 2};
-  applyUpdate(holder, updateFor(late, held, 1), 1);
+  applyUpdate(holder, createUpdate(late, held, 1), 1);
   assert.deepEqual(holder.evacuatedDomains(), []);
   assert.deepEqual(openIds(holder), ['i-1']);
 });
@@ -284,10 +284,10 @@
   const expired = createServer('i-1', 1, {failureDomain: 'b'});
   const other = createServer('i-2', 2);
   const servers = [expired, other];
-  catalog.takeServers({revision: 2, servers, evacuated: []}, 0);
+  catalog.applyServers({revision: 2, servers, evacuated: []}, 0);
   // After a store outage the entry may have expired although its server is alive.
   const after = {revision: 5, servers: [other], evacuated: ['b']};
-  catalog.takeServers(after, 10_000);
+  catalog.applyServers(after, 10_000);
   assert.deepEqual(openIds(catalog), ['i-2']);
 });
 
@@ -298,9 +298,9 @@
     createServer(`i-${index}`, index + 1),
   );
   [holder, puller].forEach(catalog =>
-    catalog.takeServers({revision: 50, servers: first, evacuated: []}, 0),
+    catalog.applyServers({revision: 50, servers: first, evacuated: []}, 0),
   );
-  holder.takeEvents(
+  holder.applyEvents(
     {
       revision: 53,
       routes: undefined,
@@ -315,13 +315,13 @@
   );
   const {serverRevision, serverDigest} = puller.stamp;
   const held = {asker: 1, routeVersion: 0, serverRevision, serverDigest};
-  const update = updateFor(holder, held, 200);
+  const update = createUpdate(holder, held, 200);
   assert.equal(update.servers?.servers.length, 2);
   assert.deepEqual(update.servers?.removed, [{id: 'i-3', revision: 53}]);
   applyUpdate(puller, update, 200);
   assert.equal(puller.stamp.serverDigest, holder.stamp.serverDigest);
   assert.equal(puller.stamp.serverRevision, 53);
-  const old = updateFor(holder, {...held, serverRevision: 49}, 200);
+  const old = createUpdate(holder, {...held, serverRevision: 49}, 200);
   assert.equal(old.servers?.whole, true);
   assert.equal(old.servers?.servers.length, 50);
 });
@@ -330,11 +330,11 @@
   fc.assert(
     fc.property(EVENTS, changes => {
       const catalog = createCatalog();
-      catalog.takeServers({revision: 1, servers: [], evacuated: []}, 0);
+      catalog.applyServers({revision: 1, servers: [], evacuated: []}, 0);
       changes.forEach(({id, kind}, index) => {
         const revision = index + 2;
         const isRemoved = kind === 'removed';
-        catalog.takeEvents(
+        catalog.applyEvents(
           {
             revision,
             routes: undefined,
@@ -347,7 +347,7 @@
       });
       const copy = createCatalog();
       const servers = catalog.allServers().reverse();
-      copy.takeServers({revision: 99, servers, evacuated: []}, 0);
+      copy.applyServers({revision: 99, servers, evacuated: []}, 0);
       assert.equal(copy.stamp.serverDigest, catalog.stamp.serverDigest);
     }),
     {seed: 9, numRuns: 300},
--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -11,7 +11,7 @@
   CatalogEvents,
   CatalogServer,
   CatalogStamp,
-  ColdService,
+  ColdRateLimit,
   DomainChange,
   RouteListing,
   ServerListing,
@@ -111,7 +111,7 @@
   }
 
   /** Returns the route of a destination in the newest version. */
-  routeOf(address: number, port: number): KnownRoute | undefined {
+  findRoute(address: number, port: number): KnownRoute | undefined {
     return this.routes.find(address, port);
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** Returns the services that limit the request rate of their cold servers. */
-  coldServices(): readonly ColdService[] {
+  coldServices(): readonly ColdRateLimit[] {
     return this.routes.coldServices;
   }
 
@@ -199,7 +199,10 @@
    * lifetime, the cookie alone suffices: a daemon that restarted without the former
    * versions would otherwise drop the flows opened under them.
    */
-  serverOf(cookie: number, route: KnownRoute): CatalogServer | undefined {
+  findServerByCookie(
+    cookie: number,
+    route: KnownRoute,
+  ): CatalogServer | undefined {
     const owners = this.servers.cookies.find(cookie, this.getMask(route));
     const allowed = owners.find(
       ({server}) =>
@@ -229,7 +232,7 @@
    * Applies a version of the routes that was the newest at `confirmedAt`, in monotonic
    * milliseconds. Ignores versions older than the current one.
    */
-  takeRoutes(
+  applyRoutes(
     listing: RouteListing,
     confirmedAt: number,
     changedAt = confirmedAt,
@@ -253,7 +256,7 @@
    * Applies a list of servers read at `confirmedAt`, in monotonic milliseconds. From an
    * older list only the last readable records of unreadable entries are used.
    */
-  takeServers(listing: ServerListing, confirmedAt: number): void {
+  applyServers(listing: ServerListing, confirmedAt: number): void {
     const {revision} = listing;
     this.applyMissingRecords(listing.servers);
     if (revision < this.serverRevision) {
@@ -269,19 +272,19 @@
    * Applies a reading that may be stale at `readAt`, in monotonic milliseconds, without
    * confirming it. A starting daemon may forward by it but not reset flows by it.
    */
-  takeOld(reading: CatalogReading, readAt: number): void {
+  applyStale(reading: CatalogReading, readAt: number): void {
     if (reading.routes !== undefined) {
-      this.takeRoutes(reading.routes, -Infinity, readAt);
+      this.applyRoutes(reading.routes, -Infinity, readAt);
     }
-    this.takeServers(reading.servers, -Infinity);
+    this.applyServers(reading.servers, -Infinity);
   }
 
   /** Applies the events that the store reported since the current revision. */
-  takeEvents(events: CatalogEvents, confirmedAt: number): void {
+  applyEvents(events: CatalogEvents, confirmedAt: number): void {
     if (events.routes === undefined) {
       this.routes.confirm(confirmedAt);
     } else {
-      this.takeRoutes(events.routes, confirmedAt);
+      this.applyRoutes(events.routes, confirmedAt);
     }
     this.applyListingChange(events, events.revision, confirmedAt);
   }
@@ -290,7 +293,7 @@
    * Applies a peer's server changes and evacuated domains as of a revision, skipping
    * whatever is older than the local state.
    */
-  takeServerChanges(
+  applyServerChanges(
     changes: ServerChanges,
     {revision, evacuated}: Pick<ServerListing, 'revision' | 'evacuated'>,
     confirmedAt: number,
--- a/src/catalog/cookie-index.spec.ts
+++ b/src/catalog/cookie-index.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {ScriptXxhashHasher} from '../adapters/script-xxhash-hasher.js';
+import {JsXxhashHasher} from '../adapters/js-xxhash-hasher.js';
 import {Hasher} from '../ports/hasher.js';
 import {CookieIndex} from './cookie-index.js';
 import type {CatalogServer} from './records.js';
@@ -70,7 +70,7 @@
 });
 
 test('a cookie of one destination names no server at another', () => {
-  const index = CookieIndex.create(ScriptXxhashHasher.create());
+  const index = CookieIndex.create(JsXxhashHasher.create());
   const servers = Array.from({length: 200}, (_server, number) =>
     createServer(`i-${number}`, 'a', number),
   );
--- a/src/catalog/reader-election.ts
+++ b/src/catalog/reader-election.ts
@@ -105,7 +105,7 @@
   }
 
   /** Records that this daemon is stopping, so that others may take over at once. */
-  noteLeaving(now: number): void {
+  recordLeaving(now: number): void {
     this.backoffUntil = Infinity;
     this.recordOwnStatus(ReadState.READ_CEASED, now);
   }
--- a/src/catalog/records.ts
+++ b/src/catalog/records.ts
@@ -107,7 +107,7 @@
 }
 
 /** Rate limit for the cold servers of a service, as configured by operators. */
-export interface ColdService {
+export interface ColdRateLimit {
   readonly service: string;
   /** Requests per second to one cold server, summed over all daemons. */
   readonly requestsPerSecond: number;
@@ -118,7 +118,7 @@
   readonly version: number;
   readonly routes: readonly CatalogRoute[];
   /** Services with a rate limit for their cold servers. */
-  readonly coldServices: readonly ColdService[];
+  readonly coldServices: readonly ColdRateLimit[];
   /** All declared services; undefined: not listed, so any service name is accepted. */
   readonly services?: readonly string[];
 }
--- a/src/catalog/route-table.ts
+++ b/src/catalog/route-table.ts
@@ -3,7 +3,7 @@
  * version assigned to each destination.
  */
 import {destinationKey} from '../routing/flow-key.js';
-import type {CatalogRoute, ColdService, RouteListing} from './records.js';
+import type {CatalogRoute, ColdRateLimit, RouteListing} from './records.js';
 
 /** A route with all services that any known version assigned to it. */
 export interface KnownRoute extends CatalogRoute {
@@ -16,7 +16,7 @@
   private readonly routes = new Map<number, KnownRoute>();
   /** Services that any known version assigned to a destination, by `destinationKey`. */
   private readonly allowedByDestination = new Map<number, Set<string>>();
-  private cold: readonly ColdService[] = [];
+  private cold: readonly ColdRateLimit[] = [];
   /** All declared services; undefined if a known version omits them. */
   private services: Set<string> | undefined = new Set();
   private newestVersion = 0;
@@ -63,7 +63,7 @@
   }
 
   /** Services that limit the request rate of their cold servers. */
-  get coldServices(): readonly ColdService[] {
+  get coldServices(): readonly ColdRateLimit[] {
     return this.cold;
   }
 
--- a/src/catalog/server-lives.spec.ts
+++ b/src/catalog/server-restarts.spec.ts
@@ -5,9 +5,9 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {ScriptXxhashHasher} from '../adapters/script-xxhash-hasher.js';
+import {JsXxhashHasher} from '../adapters/js-xxhash-hasher.js';
 import {createServer} from '../../standins/catalog-records.js';
-import {applyUpdate, updateFor} from './catalog-messages.js';
+import {applyUpdate, createUpdate} from './catalog-messages.js';
 import {Catalog, type CatalogChange} from './catalog.js';
 import type {
   CatalogServer,
@@ -16,7 +16,7 @@
   ServerState,
 } from './records.js';
 
-const hasher = ScriptXxhashHasher.create();
+const hasher = JsXxhashHasher.create();
 const EMPTY_STATE = {
   asker: 1,
   routeVersion: 0,
@@ -43,7 +43,7 @@
 
 function createCatalog(): Catalog {
   const catalog = Catalog.create({hasher, flowLifetimeMs: 60_000});
-  catalog.takeRoutes(ROUTES, 0);
+  catalog.applyRoutes(ROUTES, 0);
   return catalog;
 }
 
@@ -147,7 +147,7 @@
     .slice(from, upTo);
   const of = (kinds: ReadonlyArray<StoreWrite['kind']>) =>
     events.filter(({kind}) => kinds.includes(kind));
-  catalog.takeEvents(
+  catalog.applyEvents(
     {
       revision: upTo,
       routes: undefined,
@@ -182,7 +182,7 @@
     fc.property(HISTORY, UPDATES, (history, updates) => {
       const end = history.length;
       const catalog = createCatalog();
-      catalog.takeServers(listingAt(history, 1), 0);
+      catalog.applyServers(listingAt(history, 1), 0);
       updates.forEach(({source, from, upTo}) => {
         const at = Math.min(upTo, end);
         const before = recordsById(catalog);
@@ -192,16 +192,16 @@
           const since = Math.min(from, at, held.serverRevision);
           feedEvents(catalog, history, since, at);
         } else if (source === 'whole') {
-          catalog.takeServers(listingAt(history, at), 1);
+          catalog.applyServers(listingAt(history, at), 1);
         } else {
           const peer = createCatalog();
-          peer.takeServers(listingAt(history, at), 0);
+          peer.applyServers(listingAt(history, at), 0);
           feedEvents(peer, history, at, Math.min(end, at + 3));
           const asked = {
             ...EMPTY_STATE,
             serverRevision: source === 'pull' ? held.serverRevision : 0,
           };
-          applyUpdate(catalog, updateFor(peer, asked, 1), 1);
+          applyUpdate(catalog, createUpdate(peer, asked, 1), 1);
         }
         recordsById(catalog).forEach(({id, revision}) => {
           const known = before.get(id)?.revision ?? 0;
@@ -233,7 +233,7 @@
           .sort(),
       );
       const fresh = createCatalog();
-      fresh.takeServers(expected, 0);
+      fresh.applyServers(expected, 0);
       assert.equal(catalog.stamp.serverDigest, fresh.stamp.serverDigest);
     }),
     {seed: 17, numRuns: 1_500},
@@ -243,7 +243,7 @@
 test('different incarnations of a server have different digests', () => {
   const [former, later] = [0, 70].map(startTime => {
     const catalog = createCatalog();
-    catalog.takeServers(
+    catalog.applyServers(
       createListing(5, [createEntry('i-1', 5, {startTime})]),
       0,
     );
@@ -256,7 +256,7 @@
   const holder = createCatalog();
   const puller = createCatalog();
   const first = createListing(5, [createEntry('i-1', 5, {startTime: 90})]);
-  [holder, puller].forEach(catalog => catalog.takeServers(first, 0));
+  [holder, puller].forEach(catalog => catalog.applyServers(first, 0));
   const [reported, pulled] = [holder, puller].map(collectChanges);
   // The clock of the server's host was set back.
   const restartedServer = createEntry('i-1', 8, {
@@ -264,11 +264,11 @@
     createdRevision: 5,
   });
   const events = {revision: 8, routes: undefined, removed: [], domains: []};
-  holder.takeEvents({...events, written: [restartedServer]}, 1);
-  holder.takeEvents({...events, written: [restartedServer]}, 2);
+  holder.applyEvents({...events, written: [restartedServer]}, 1);
+  holder.applyEvents({...events, written: [restartedServer]}, 2);
   const {serverRevision, serverDigest} = puller.stamp;
   const held = {...EMPTY_STATE, serverRevision, serverDigest};
-  applyUpdate(puller, updateFor(holder, held, 1), 1);
+  applyUpdate(puller, createUpdate(holder, held, 1), 1);
   [reported, pulled].forEach(changes => {
     const restarted = changes.flatMap(change => change.restarted);
     assert.deepEqual(
@@ -284,18 +284,18 @@
   const late = createCatalog();
   const servers = [createEntry('i-1', 1), createEntry('i-2', 2)];
   [catalog, late].forEach(each =>
-    each.takeServers(createListing(2, servers), 0),
+    each.applyServers(createListing(2, servers), 0),
   );
   const draining = createEntry('i-1', 3, {
     state: 'draining',
     createdRevision: 1,
   });
   const none = {routes: undefined, written: [], removed: [], domains: []};
-  late.takeEvents({...none, revision: 3, written: [draining]}, 1);
+  late.applyEvents({...none, revision: 3, written: [draining]}, 1);
   const held = {...EMPTY_STATE, serverRevision: 2};
-  const answer = updateFor(late, held, 1);
+  const answer = createUpdate(late, held, 1);
   const removed = [{id: 'i-1', revision: 4}];
-  catalog.takeEvents({...none, revision: 4, removed}, 1);
+  catalog.applyEvents({...none, revision: 4, removed}, 1);
   applyUpdate(catalog, answer, 1);
   assert.deepEqual(idsOf(catalog.allServers()), ['i-2']);
 });
@@ -304,18 +304,18 @@
   const catalog = createCatalog();
   const former = createEntry('i-1', 1, {address: 7});
   const next = createEntry('i-2', 2, {address: 7, service: 'docs'});
-  catalog.takeServers(createListing(2, [former, next]), 0);
+  catalog.applyServers(createListing(2, [former, next]), 0);
   assert.equal(catalog.hasEnded(former), true);
   const elsewhere = {address: 8, startTime: 70, createdRevision: 1};
   const restartedServer = createEntry('i-1', 3, elsewhere);
-  catalog.takeServers(createListing(3, [restartedServer, next]), 1);
+  catalog.applyServers(createListing(3, [restartedServer, next]), 1);
   assert.equal(catalog.hasEnded(restartedServer), false);
   assert.equal(catalog.hasEnded(next), false);
   assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-1']);
   assert.equal(catalog.serverById('i-1')?.address, 8);
   // A third server at the former address supersedes only the second one.
   const third = createEntry('i-3', 4, {address: 7});
-  catalog.takeServers(createListing(4, [restartedServer, next, third]), 2);
+  catalog.applyServers(createListing(4, [restartedServer, next, third]), 2);
   assert.equal(catalog.hasEnded(next), true);
   assert.equal(catalog.hasEnded(restartedServer), false);
 });
@@ -326,10 +326,10 @@
   const back = {address: 8, startTime: 70, createdRevision: 1};
   const restartedServer = createEntry('i-1', 9, back);
   const seenBoth = createCatalog();
-  seenBoth.takeServers(createListing(5, [first, second]), 0);
+  seenBoth.applyServers(createListing(5, [first, second]), 0);
   const started = createCatalog();
   [seenBoth, started].forEach(catalog => {
-    catalog.takeServers(createListing(9, [restartedServer, second]), 1);
+    catalog.applyServers(createListing(9, [restartedServer, second]), 1);
     assert.equal(catalog.hasEnded(second), true);
     assert.equal(catalog.hasEnded(restartedServer), false);
   });
@@ -338,43 +338,46 @@
 test('cookies of a server that restarts at another address lead to the new address', () => {
   const catalog = createCatalog();
   const former = createEntry('i-1', 1, {address: 7});
-  catalog.takeServers(createListing(1, [former]), 0);
+  catalog.applyServers(createListing(1, [former]), 0);
   const [route] = catalog.allRoutes();
   const cookie = catalog.cookieOf(former, route) ?? 0;
   const restartedServer = createEntry('i-1', 3, {address: 8, startTime: 70});
-  catalog.takeServers(createListing(3, [restartedServer]), 1);
-  assert.equal(catalog.serverOf(cookie, route)?.address, 8);
+  catalog.applyServers(createListing(3, [restartedServer]), 1);
+  assert.equal(catalog.findServerByCookie(cookie, route)?.address, 8);
   // Also when its entry was removed in between.
-  catalog.takeServers(createListing(4, []), 2);
+  catalog.applyServers(createListing(4, []), 2);
   const changes = collectChanges(catalog);
   const third = createEntry('i-1', 5, {address: 9, startTime: 90});
-  catalog.takeServers(createListing(5, [third]), 3);
-  assert.equal(catalog.serverOf(cookie, route)?.address, 9);
+  catalog.applyServers(createListing(5, [third]), 3);
+  assert.equal(catalog.findServerByCookie(cookie, route)?.address, 9);
   assert.deepEqual(idsOf(changes.flatMap(change => change.restarted)), ['i-1']);
 });
 
 test('a server with an unreadable entry keeps its flows and gets no new ones until it is readable again', () => {
   const catalog = createCatalog();
   const server = createEntry('i-1', 1);
-  catalog.takeServers(createListing(1, [server, createEntry('i-2', 1)]), 0);
+  catalog.applyServers(createListing(1, [server, createEntry('i-2', 1)]), 0);
   const [route] = catalog.allRoutes();
   const cookie = catalog.cookieOf(server, route) ?? 0;
   const changes = collectChanges(catalog);
-  catalog.takeServers(createListing(2, [createEntry('i-2', 1)], ['i-1']), 500);
+  catalog.applyServers(createListing(2, [createEntry('i-2', 1)], ['i-1']), 500);
   // Whole reads without its record, for longer than the unannounced shutdown time.
   Array.from({length: 60}, (_read, index) =>
-    catalog.takeServers(
+    catalog.applyServers(
       createListing(2, [createEntry('i-2', 1)], ['i-1']),
       1_000 + index * 500,
     ),
   );
   assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-2']);
-  assert.equal(catalog.serverOf(cookie, route)?.id, 'i-1');
+  assert.equal(catalog.findServerByCookie(cookie, route)?.id, 'i-1');
   assert.equal(catalog.hasEnded(server), false);
   assert.equal(changes.flatMap(({unreadable}) => unreadable).length, 1);
   assert.equal(changes.flatMap(({departed}) => departed).length, 0);
   const again = createEntry('i-1', 3, {createdRevision: 1});
-  catalog.takeServers(createListing(3, [again, createEntry('i-2', 1)]), 40_000);
+  catalog.applyServers(
+    createListing(3, [again, createEntry('i-2', 1)]),
+    40_000,
+  );
   assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-1', 'i-2']);
   assert.equal(changes.flatMap(({restarted}) => restarted).length, 0);
 });
@@ -382,9 +385,9 @@
 test('an expired server whose entry reappears unreadable does not count as ended', () => {
   const catalog = createCatalog();
   const server = createEntry('i-1', 1);
-  catalog.takeServers(createListing(1, [server]), 0);
-  catalog.takeServers(createListing(2, []), 500);
-  catalog.takeServers(createListing(3, [], ['i-1']), 1_000);
+  catalog.applyServers(createListing(1, [server]), 0);
+  catalog.applyServers(createListing(2, []), 500);
+  catalog.applyServers(createListing(3, [], ['i-1']), 1_000);
   Array.from({length: 60}, (_read, index) =>
     catalog.confirmAll(1_500 + index * 500),
   );
@@ -395,31 +398,34 @@
 test('a daemon knows the cookie of an entry it never could read and gets its record from a peer', () => {
   const holder = createCatalog();
   const server = createEntry('i-1', 1);
-  holder.takeServers(createListing(1, [server]), 0);
-  holder.takeServers(createListing(2, [], ['i-1']), 1);
+  holder.applyServers(createListing(1, [server]), 0);
+  holder.applyServers(createListing(2, [], ['i-1']), 1);
   const [route] = holder.allRoutes();
   const cookie = holder.cookieOf(server, route) ?? 0;
   const started = createCatalog();
-  started.takeServers(createListing(2, [], ['i-1']), 0);
+  started.applyServers(createListing(2, [], ['i-1']), 0);
   const [same] = started.allRoutes();
-  assert.equal(started.serverOf(cookie, same), undefined);
+  assert.equal(started.findServerByCookie(cookie, same), undefined);
   assert.equal(started.hasCookie(cookie, same), true);
   assert.equal(started.stamp.serverDigest, holder.stamp.serverDigest);
   assert.notEqual(started.unreadableDigest, holder.unreadableDigest);
-  applyUpdate(started, updateFor(holder, EMPTY_STATE, 1), 1);
-  assert.equal(started.serverOf(cookie, same)?.address, server.address);
+  applyUpdate(started, createUpdate(holder, EMPTY_STATE, 1), 1);
+  assert.equal(
+    started.findServerByCookie(cookie, same)?.address,
+    server.address,
+  );
   assert.deepEqual(started.openServers('pay'), []);
   assert.equal(started.unreadableDigest, holder.unreadableDigest);
 });
 
 test('the cookie of an entry that was never readable is kept for a flow lifetime after its removal', () => {
   const catalog = createCatalog();
-  catalog.takeServers(createListing(1, [], ['i-1']), 0);
+  catalog.applyServers(createListing(1, [], ['i-1']), 0);
   const [route] = catalog.allRoutes();
   const other = createCatalog();
-  other.takeServers(createListing(1, [createEntry('i-1', 1)]), 0);
+  other.applyServers(createListing(1, [createEntry('i-1', 1)]), 0);
   const cookie = other.cookieOf(createEntry('i-1', 1), route) ?? 0;
-  catalog.takeServers(createListing(2, []), 1_000);
+  catalog.applyServers(createListing(2, []), 1_000);
   catalog.confirmAll(60_000);
   assert.equal(catalog.hasCookie(cookie, route), true);
   catalog.confirmAll(61_001);
@@ -429,33 +435,33 @@
 test('an entry of an undeclared service neither supersedes a server nor redirects flows', () => {
   const catalog = createCatalog();
   const server = createEntry('i-1', 1, {address: 7});
-  catalog.takeServers(createListing(1, [server]), 0);
+  catalog.applyServers(createListing(1, [server]), 0);
   const [route] = catalog.allRoutes();
   const cookie = catalog.cookieOf(server, route) ?? 0;
   const undeclared = createEntry('i-9', 2, {address: 7, service: 'nobody'});
-  catalog.takeServers(createListing(2, [server, undeclared]), 1);
+  catalog.applyServers(createListing(2, [server, undeclared]), 1);
   assert.equal(catalog.hasEnded(server), false);
   const corrupted = createEntry('i-1', 3, {address: 8, service: 'nobody'});
-  catalog.takeServers(createListing(3, [corrupted, undeclared]), 2);
-  assert.equal(catalog.serverOf(cookie, route)?.address, 7);
+  catalog.applyServers(createListing(3, [corrupted, undeclared]), 2);
+  assert.equal(catalog.findServerByCookie(cookie, route)?.address, 7);
   assert.deepEqual(catalog.openServers('pay'), []);
   // Once a later version declares the service, its entries take effect.
   const services = ['pay', 'nobody'];
-  catalog.takeRoutes({...ROUTES, version: 2, services}, 3);
+  catalog.applyRoutes({...ROUTES, version: 2, services}, 3);
   assert.equal(catalog.serverById('i-1')?.address, 8);
 });
 
 test('a server listed again by the change that ends its grace period is not reported as ended', () => {
   const catalog = createCatalog();
   const drained = createEntry('i-1', 1, {state: 'draining'});
-  catalog.takeServers(createListing(1, [drained]), 0);
-  catalog.takeServers(createListing(2, []), 100);
+  catalog.applyServers(createListing(1, [drained]), 0);
+  catalog.applyServers(createListing(2, []), 100);
   Array.from({length: 5}, (_read, index) =>
     catalog.confirmAll(600 + index * 500),
   );
   const changes = collectChanges(catalog);
   const restartedServer = createEntry('i-1', 3, {startTime: 70});
-  catalog.takeServers(createListing(3, [restartedServer]), 3_000);
+  catalog.applyServers(createListing(3, [restartedServer]), 3_000);
   assert.deepEqual(
     changes.flatMap(({ended}) => ended),
     [],
@@ -466,18 +472,18 @@
 test('ended servers are reported when superseded and after their grace period', () => {
   const catalog = createCatalog();
   const [first, second] = [createEntry('i-1', 1), createEntry('i-2', 1)];
-  catalog.takeServers(createListing(1, [first, second]), 0);
+  catalog.applyServers(createListing(1, [first, second]), 0);
   const changes = collectChanges(catalog);
   const endedIds = () => idsOf(changes.flatMap(({ended}) => ended));
   const next = createEntry('i-3', 2, {address: first.address});
-  catalog.takeServers(createListing(2, [first, second, next]), 100);
+  catalog.applyServers(createListing(2, [first, second, next]), 100);
   assert.deepEqual(endedIds(), ['i-1']);
   const drained = createEntry('i-2', 3, {
     state: 'draining',
     createdRevision: 1,
   });
-  catalog.takeServers(createListing(3, [drained, next]), 200);
-  catalog.takeServers(createListing(4, [next]), 300);
+  catalog.applyServers(createListing(3, [drained, next]), 200);
+  catalog.applyServers(createListing(4, [next]), 300);
   Array.from({length: 6}, (_read, index) =>
     catalog.confirmAll(800 + index * 500),
   );
--- a/src/catalog/snapshot-writer.spec.ts
+++ b/src/catalog/snapshot-writer.spec.ts
@@ -30,7 +30,7 @@
   const catalog = Catalog.create({hasher, flowLifetimeMs: 60_000});
   const written: Array<{bytes: Uint8Array; expected: number}> = [];
   const setServers = (count: number, revision: number) =>
-    catalog.takeServers(
+    catalog.applyServers(
       {
         revision,
         servers: Array.from({length: count}, (_server, index) =>
@@ -41,7 +41,7 @@
       clock.now(),
     );
   const routes = [createRoute('pay', {address: 1, port: 443, targetMs: 422})];
-  catalog.takeRoutes({version: 3, routes, coldServices: []}, 0);
+  catalog.applyRoutes({version: 3, routes, coldServices: []}, 0);
   setServers(servers, 10);
   const writer = SnapshotWriter.create({
     catalog,
@@ -135,7 +135,7 @@
 });
 
 test('a failed write is retried after the minimum interval', async () => {
-  const failure = SourceFailure.create(SourceFailureKind.SILENT, 'write', '');
+  const failure = SourceFailure.create(SourceFailureKind.TIMEOUT, 'write', '');
   const {clock, writer, written} = createWriter(MANY_SERVERS, () =>
     errAsync(failure),
   );
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -12,7 +12,10 @@
 import {processSettingsSchema} from '../configuration/process-settings.js';
 import {nextDocument, type Edit} from '../configuration/revision.js';
 import {sourceNameOf} from '../configuration/services.js';
-import {ENTRY_HEADING, readEntrySettings} from '../entry/settings-file.js';
+import {
+  ENTRY_SECTION_PATTERN,
+  readEntrySettings,
+} from '../entry/settings-file.js';
 import {
   ExitCode,
   print,
@@ -66,7 +69,7 @@
   file: string,
   text: string,
 ): Result<string, ConfigurationFaults> {
-  if (ENTRY_HEADING.test(text)) {
+  if (ENTRY_SECTION_PATTERN.test(text)) {
     return readEntrySettings(file, text).map(() => file);
   }
   return /^\s*\[(daemon|listen|platform)\]/m.test(text)
@@ -180,7 +183,7 @@
   platform: Platform,
   revision: number,
 ): Promise<string[]> {
-  const statuses = await platform.statuses();
+  const statuses = await platform.readStatuses();
   return statuses
     .filter(({answer}) => (answer?.revision ?? 0) < revision)
     .map(({id}) => id);
--- a/src/cli/flow-explanation.spec.ts
+++ b/src/cli/flow-explanation.spec.ts
@@ -5,7 +5,7 @@
 import {test} from 'node:test';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
 import {SimulatedPlatform} from '../../standins/simulated-platform.js';
-import type {LoggedLine} from '../../standins/memory-log.js';
+import type {LogEntry} from '../../standins/memory-log.js';
 import {formatIpv4} from '../routing/ipv4.js';
 import {explainFlow} from './flow-explanation.js';
 import {readProcessLogs} from './process-logs.js';
@@ -26,7 +26,7 @@
 }
 
 /** Writes logged lines to one file per process and reads them back. */
-function writeAndReadLogs(lines: readonly LoggedLine[]) {
+function writeAndReadLogs(lines: readonly LogEntry[]) {
   const folder = mkdtempSync(join(tmpdir(), 'weldyard-logs-'));
   const processes = [...new Set(lines.map(({process}) => process))];
   const files = processes.map(process => {
@@ -50,11 +50,13 @@
 
 test('an opening that a silent server did not answer is explained', async () => {
   const platform = await createPlatform();
-  const [silent] = platform.liveServers('pay');
+  const [silent] = platform.listReadyServers('pay');
   platform.crashServer(silent, true, 60_000);
-  const callers = Array.from({length: 12}, () => platform.call(PAY, 1, 3_000));
+  const callers = Array.from({length: 12}, () =>
+    platform.startCaller(PAY, 1, 3_000),
+  );
   await platform.clock.advance(2_000);
-  const events = writeAndReadLogs(platform.lines);
+  const events = writeAndReadLogs(platform.logEntries);
   const explanations = callers.map(({options}) =>
     explainFlow(
       events,
@@ -78,13 +80,13 @@
 
 test('a refused opening is explained with the route version and its age', async () => {
   const platform = await createPlatform();
-  platform.publish([]);
+  platform.publishRoutes([]);
   await platform.clock.advance(1_000);
-  const caller = platform.call(PAY, 1, 3_000);
+  const caller = platform.startCaller(PAY, 1, 3_000);
   await platform.clock.advance(500);
   const {sourceAddress, sourcePort} = caller.options;
   const source = `${formatIpv4(sourceAddress)}:${sourcePort}`;
-  const {findings} = explainFlow(writeAndReadLogs(platform.lines), source);
+  const {findings} = explainFlow(writeAndReadLogs(platform.logEntries), source);
   assert.match(
     findings[0],
     /^d\d: a packet was answered with a reset: version 2 of the routes, confirmed \d+ ms before, has no route/,
@@ -94,19 +96,19 @@
 test('a reset flow is explained by the end of its server', async () => {
   const platform = await createPlatform();
   const callers = Array.from({length: 6}, () =>
-    platform.call(PAY, 5_000, 40_000),
+    platform.startCaller(PAY, 5_000, 40_000),
   );
   await platform.clock.advance(500);
   const [caller] = callers;
   const ended = platform
-    .liveServers('pay')
+    .listReadyServers('pay')
     .find(({entry}) => entry.id === caller.server);
   assert.ok(ended);
   platform.crashServer(ended, true, 2_300);
   await platform.clock.advance(26_000);
   const {sourceAddress, sourcePort} = caller.options;
   const source = `${formatIpv4(sourceAddress)}:${sourcePort}`;
-  const {findings} = explainFlow(writeAndReadLogs(platform.lines), source);
+  const {findings} = explainFlow(writeAndReadLogs(platform.logEntries), source);
   assert.ok(findings.some(finding => finding.includes('its server had ended')));
   assert.ok(
     findings.includes(`${ended.entry.id} left the list of servers`),
--- a/src/cli/observation-commands.ts
+++ b/src/cli/observation-commands.ts
@@ -51,7 +51,7 @@
   platform: Platform,
   options: CommonOptions,
 ): Promise<ExitCode> {
-  const statuses = await platform.statuses();
+  const statuses = await platform.readStatuses();
   if (options.json === true) {
     print(JSON.stringify({daemons: statuses}));
   } else {
@@ -77,7 +77,7 @@
 function statusRow({
   id,
   answer,
-}: Awaited<ReturnType<Platform['statuses']>>[number]): string[] {
+}: Awaited<ReturnType<Platform['readStatuses']>>[number]): string[] {
   return answer === undefined
     ? [id, '', 'no answer']
     : [
@@ -141,7 +141,7 @@
   platform: Platform,
   options: TimelineOptions,
 ): Promise<ExitCode> {
-  const answers = await platform.timelines();
+  const answers = await platform.readTimelines();
   return showEvents(
     answers.flatMap(({answer}) => answer?.events ?? []),
     options,
--- a/src/cli/platform.ts
+++ b/src/cli/platform.ts
@@ -64,14 +64,14 @@
   }
 
   /** Requests the status of every live or leaving daemon. */
-  async statuses(): Promise<DaemonAnswer<StatusReply>[]> {
+  async readStatuses(): Promise<DaemonAnswer<StatusReply>[]> {
     return this.askAll<StatusReply>((client, ...rest) =>
       client.status({}, ...rest),
     );
   }
 
   /** Requests the timeline of every live or leaving daemon. */
-  async timelines(): Promise<DaemonAnswer<TimelineReply>[]> {
+  async readTimelines(): Promise<DaemonAnswer<TimelineReply>[]> {
     return this.askAll<TimelineReply>((client, ...rest) =>
       client.timeline({limit: MAX_TIMELINE_EVENTS}, ...rest),
     );
--- a/src/configuration/editor.spec.ts
+++ b/src/configuration/editor.spec.ts
@@ -65,16 +65,16 @@
           isWatching: () => true,
           onValue: value =>
             seen.push(decodeDocument(value)._unsafeUnwrap().revision),
-          onLost: () => undefined,
-          onBack: () => undefined,
+          onStoreLost: () => undefined,
+          onStoreRestored: () => undefined,
         }).start();
         const attempts: Attempt[] = [];
         await steps.reduce(async (earlier, step, index) => {
           await earlier;
-          store.loseAnswers = step.lose;
-          store.down = step.downMs > 0;
+          store.lostAnswerRate = step.lose;
+          store.isDown = step.downMs > 0;
           clock.callAt(clock.now() + step.downMs, () => {
-            store.down = false;
+            store.isDown = false;
           });
           Array.from({length: step.operators}).forEach((_, operator) => {
             const target = step.sameTarget ? 'w0' : `w${operator}`;
@@ -95,7 +95,7 @@
           });
           await clock.advance(40_000);
         }, Promise.resolve());
-        store.loseAnswers = 0;
+        store.lostAnswerRate = 0;
         await clock.advance(10_000);
         stop();
         const stored = await settle(clock, Editor.create(store, clock).read());
@@ -185,7 +185,7 @@
   };
   await Promise.all([add('a'), add('b')]);
   const last = (await store.get(key))._unsafeUnwrap();
-  await clock.settle();
+  await clock.flushPromises();
   return new TextDecoder().decode(last.value).split(';').length - 1;
 }
 
--- a/src/configuration/watcher.ts
+++ b/src/configuration/watcher.ts
@@ -21,9 +21,9 @@
   /** Called with each document read; empty before the first edit. */
   onValue(value: Uint8Array): void;
   /** Called with the cause when calls to the store start to fail. */
-  onLost(cause: string): void;
+  onStoreLost(cause: string): void;
   /** Called when a call succeeds again. */
-  onBack(): void;
+  onStoreRestored(): void;
 }
 
 /** Watches the configuration document while `isWatching` returns true. */
@@ -58,7 +58,13 @@
   }
 
   private async watchOnce(): Promise<void> {
-    const {store, clock, onValue, onBack, onLost} = this.options;
+    const {
+      store,
+      clock,
+      onValue,
+      onStoreRestored: onBack,
+      onStoreLost: onLost,
+    } = this.options;
     const deadline = clock.now() + WATCH_TIMEOUT_MS;
     const result = await store.watch(DOCUMENT_KEY, this.version, deadline);
     if (this.stopped) {
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -24,7 +24,7 @@
   MemberState,
   firstIncarnation,
   handlesPackets,
-  runOf,
+  runIdOf,
   type Member,
 } from '../membership/member.js';
 import {Metric} from '../ports/counters.js';
@@ -102,7 +102,7 @@
       self: this.createOwnMember(),
       timeline: this.timeline,
       peers,
-      read: bundle => this.readRevision(bundle),
+      parseRevision: bundle => this.readRevision(bundle),
       maximumEntries: routing['maximum-entries'],
       scope:
         routing.policy === 'all-flows' ? StateScope.ALL : StateScope.EXCEPTIONS,
@@ -112,7 +112,7 @@
       peers,
       clock: this.clock,
       view: {
-        self: runOf(this.coordinator.members.self),
+        self: runIdOf(this.coordinator.members.self),
         ownerOf: range => this.findRangeOwner(range),
         backupsOf: range => this.listRangeBackups(range),
         addressOf: run => this.findAddressOfRun(run),
@@ -175,8 +175,8 @@
       ...this.coordinator.handlers(),
       onForward: request => this.entry.handle(request),
       onKeepKeys: (range, records) =>
-        this.ranges.get(range).memory.merge(records),
-      onPullKeys: range => this.ranges.get(range).memory.records(),
+        this.ranges.get(range).keys.merge(records),
+      onPullKeys: range => this.ranges.get(range).keys.records(),
     });
     await this.startServers();
     this.startTasks();
@@ -203,7 +203,7 @@
     this.entry.stop();
     await this.waitForRequests(deadline);
     await this.ranges.releaseAll(deadline);
-    await this.coordinator.settle(deadline);
+    await this.coordinator.flushAndConfirm(deadline);
     this.timeline.record(EventKind.STOPPED, {confirmed});
     await this.announce(InstanceState.GONE);
     await this.close();
@@ -243,11 +243,11 @@
       clock: this.clock,
       isWatching: () => this.tasks.isWatcher(),
       onValue: value => this.onDocument(value),
-      onLost: cause => {
+      onStoreLost: cause => {
         this.log.warn('store-lost', {cause});
         this.timeline.record(EventKind.STORE_LOST, {cause});
       },
-      onBack: () => {
+      onStoreRestored: () => {
         this.log.info('store-back');
         this.timeline.record(EventKind.STORE_BACK, {});
       },
@@ -293,7 +293,7 @@
       ({revision}) => {
         if (revision > this.coordinator.replicatedState.staged.revision) {
           const document = Buffer.from(value);
-          this.coordinator.learn([
+          this.coordinator.applyChanges([
             {revision: {revision, document}, mark: undefined},
           ]);
         }
@@ -334,7 +334,7 @@
   private findRangeOwner(range: number): string | undefined {
     const owner = this.coordinator.currentOwnership.ownerOf(range);
     const member = owner && this.coordinator.members.get(owner);
-    return member ? runOf(member) : undefined;
+    return member ? runIdOf(member) : undefined;
   }
 
   /** Lists the runs that can back up a range, the backup of its partition first. */
@@ -348,13 +348,14 @@
     return [
       ...others.filter(({id}) => id === first),
       ...others.filter(({id}) => id !== first),
-    ].map(runOf);
+    ].map(runIdOf);
   }
 
   private findAddressOfRun(run: string): string | undefined {
     return this.coordinator.members
       .others()
-      .find(member => runOf(member) === run && handlesPackets(member))?.address;
+      .find(member => runIdOf(member) === run && handlesPackets(member))
+      ?.address;
   }
 
   private findKeyOwner(key: string): KeyOwner {
@@ -393,7 +394,7 @@
   }
 
   private async waitForRequests(deadline: number): Promise<void> {
-    while (this.entry.count > 0 && this.clock.now() < deadline) {
+    while (this.entry.inFlightCount > 0 && this.clock.now() < deadline) {
       await this.pause(STOP_POLL_INTERVAL_MS);
     }
   }
--- a/src/daemon/platform-tasks.ts
+++ b/src/daemon/platform-tasks.ts
@@ -129,7 +129,7 @@
       .filter(instance => instance.role === InstanceRole.BACKEND)
       .filter(instance => this.needsMark(instance))
       .map(instance => this.createMark(instance));
-    coordinator.learn(marks.map(mark => ({mark, revision: undefined})));
+    coordinator.applyChanges(marks.map(mark => ({mark, revision: undefined})));
   }
 
   private needsMark(instance: ListedInstance): boolean {
@@ -235,7 +235,7 @@
       disturbedUntilMs:
         state === MarkState.LIVE ? 0 : this.computeDisturbedUntil(server),
     };
-    coordinator.learn([{mark, revision: undefined}]);
+    coordinator.applyChanges([{mark, revision: undefined}]);
   }
 
   /** Runs a task periodically, the interval after its last run; returns a stop function. */
--- a/src/daemon/pools.ts
+++ b/src/daemon/pools.ts
@@ -84,7 +84,7 @@
     }
     const created = Dispatcher.create({
       ...this.options,
-      queueBound: service.queue,
+      queueCapacity: service.queue,
     });
     this.dispatchers.set(service.pool, created);
     return created;
--- a/src/entry/entry-daemon.spec.ts
+++ b/src/entry/entry-daemon.spec.ts
@@ -46,7 +46,7 @@
   const rounds = Math.floor(lastsMs / everyMs);
   for (let round = 0; round < rounds; round += 1) {
     const route = round % 3 === 0 ? DOCS : PAY;
-    platform.call(route, 1 + (round % 4), 3_000);
+    platform.startCaller(route, 1 + (round % 4), 3_000);
     await platform.clock.advance(everyMs);
   }
 }
@@ -56,10 +56,10 @@
   const callsBefore = platform.store.calls;
   await callFor(platform, 10_000);
   await platform.clock.advance(3_000);
-  const {answered, ...others} = platform.tally.ends;
+  const {answered, ...others} = platform.callResults.outcomes;
   assert.equal(answered, 500);
   assert.deepEqual(others, {refused: 0, cut: 0, 'timed-out': 0});
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
   // Two readers long-poll with 1.5 s each for 13 s; the rest are reads at the start.
   assert.ok(
     platform.store.calls - callsBefore <= 25,
@@ -70,7 +70,7 @@
 test('the first server list is logged in one line, later changes one by one', async () => {
   const platform = await createPlatform();
   const linesOf = (kind: string) =>
-    platform.lines.filter(
+    platform.logEntries.filter(
       ({process, event}) => process === 'd0' && event === kind,
     );
   assert.deepEqual(
@@ -78,7 +78,7 @@
     [9],
   );
   assert.equal(linesOf('server-state').length, 0);
-  platform.drainServer(platform.liveServers('pay')[0], 5_000);
+  platform.drainServer(platform.listReadyServers('pay')[0], 5_000);
   await platform.clock.advance(1_000);
   assert.deepEqual(
     linesOf('server-state').map(({fields}) => fields['state']),
@@ -90,7 +90,7 @@
   const platform = await createPlatform();
   const names = [...platform.daemons.keys()];
   names.forEach(name => platform.killDaemon(name));
-  const linesBefore = platform.lines.length;
+  const linesBefore = platform.logEntries.length;
   await platform.clock.advance(1_300);
   // The seeds start last, so the first pings of the others go unanswered.
   for (const name of [...names].reverse()) {
@@ -99,7 +99,7 @@
   }
   await platform.clock.advance(1_000);
   const isFound = (name: string) =>
-    platform.lines
+    platform.logEntries
       .slice(linesBefore)
       .some(({process, event}) => process === name && event === 'peer-found');
   names.forEach(name => assert.ok(isFound(name), name));
@@ -108,38 +108,38 @@
 test('a flow stays on its server when the daemons that forwarded it are killed', async () => {
   const platform = await createPlatform();
   const callers = Array.from({length: 11}, () =>
-    platform.call(PAY, 300, LONG_CALL_MS),
+    platform.startCaller(PAY, 300, LONG_CALL_MS),
   );
   await platform.clock.advance(500);
   platform.killDaemon('d0');
   platform.killDaemon('d1');
   await platform.startDaemon('d0');
   await platform.clock.advance(LONG_CALL_MS);
-  assert.deepEqual(platform.broken, []);
-  assert.equal(platform.tally.ends.answered, callers.length);
+  assert.deepEqual(platform.violations, []);
+  assert.equal(platform.callResults.outcomes.answered, callers.length);
 });
 
 test('flows opened under an earlier route version survive the loss of all daemons', async () => {
   const platform = await createPlatform();
   const callers = Array.from({length: 11}, () =>
-    platform.call(PAY, 300, LONG_CALL_MS),
+    platform.startCaller(PAY, 300, LONG_CALL_MS),
   );
   await platform.clock.advance(500);
   const toDocs = {...PAY, shares: DOCS.shares};
-  platform.publish([toDocs, DOCS]);
+  platform.publishRoutes([toDocs, DOCS]);
   await platform.clock.advance(4_000);
   const names = [...platform.daemons.keys()];
   names.forEach(name => platform.killDaemon(name));
   await platform.clock.advance(300);
   await Promise.all(names.map(name => platform.startDaemon(name)));
   await platform.clock.advance(14_000);
-  assert.deepEqual(platform.broken, []);
-  assert.equal(platform.tally.ends.answered, callers.length);
+  assert.deepEqual(platform.violations, []);
+  assert.equal(platform.callResults.outcomes.answered, callers.length);
 });
 
 test('rolling stops of all daemons lose no packet of an open flow', async () => {
   const platform = await createPlatform({daemons: 6});
-  Array.from({length: 11}, () => platform.call(PAY, 300, LONG_CALL_MS));
+  Array.from({length: 11}, () => platform.startCaller(PAY, 300, LONG_CALL_MS));
   const names = [...platform.daemons.keys()];
   const stops = names.map(async (name, index) => {
     await new Promise<void>(resolve => {
@@ -150,8 +150,8 @@
   });
   await platform.clock.advance(18_000);
   await Promise.all(stops);
-  assert.deepEqual(platform.broken, []);
-  assert.deepEqual(platform.tally.ends, {
+  assert.deepEqual(platform.violations, []);
+  assert.deepEqual(platform.callResults.outcomes, {
     answered: 11,
     refused: 0,
     cut: 0,
@@ -164,7 +164,7 @@
   await platform.clock.advance(2_000);
   const readers = [...platform.daemons.keys()].slice(0, 2);
   readers.forEach(name => platform.killDaemon(name));
-  platform.publish([PAY]);
+  platform.publishRoutes([PAY]);
   await platform.clock.advance(BOUNDS.configurationMs);
   const versions = [...platform.daemons.values()].flatMap(({running}) =>
     running === undefined ? [] : [running.catalog.stamp.routeVersion],
@@ -176,19 +176,19 @@
   const platform = await createPlatform();
   await platform.clock.advance(2_000);
   const isLast = (process: string, event: string, waits: boolean) =>
-    platform.lines
+    platform.logEntries
       .filter(line => line.process === process && line.event === event)
       .pop()?.fields['waits'] === waits;
   const names = [...platform.daemons.keys()];
   const readers = names.filter(name => isLast(name, 'reader-changed', true));
   assert.equal(readers.length, 2);
   readers.forEach(name => platform.killDaemon(name));
-  const before = platform.lines.length;
+  const before = platform.logEntries.length;
   await platform.clock.advance(5_000);
   const left = names.filter(name => !readers.includes(name));
   const next = left.filter(name => isLast(name, 'reader-changed', true));
   assert.equal(next.length, 2);
-  const lost = platform.lines
+  const lost = platform.logEntries
     .slice(before)
     .filter(({event}) => event === 'peer-lost');
   assert.equal(lost.length, left.length * readers.length);
@@ -200,7 +200,7 @@
     .slice(1)
     .forEach(name => platform.store.outages.set(name, OutageKind.SILENT));
   await platform.clock.advance(500);
-  platform.publish([PAY]);
+  platform.publishRoutes([PAY]);
   await platform.clock.advance(BOUNDS.configurationMs);
   platform.daemons.forEach(({running}) =>
     assert.equal(running?.catalog.stamp.routeVersion, 2),
@@ -209,18 +209,18 @@
 
 test('a daemon partitioned from its peers reads the store itself', async () => {
   const platform = await createPlatform();
-  platform.cutFromPeers('d4', true);
-  platform.publish([PAY]);
+  platform.setPartitionedFromPeers('d4', true);
+  platform.publishRoutes([PAY]);
   await platform.clock.advance(3_500);
-  const {running} = platform.daemonOf('d4');
+  const {running} = platform.getDaemon('d4');
   assert.equal(running?.catalog.stamp.routeVersion, 2);
 });
 
 test('a new version is found by a full read after the store discarded its events', async () => {
   const platform = await createPlatform();
-  platform.store.forgetHistory();
-  platform.publish([PAY]);
-  platform.store.forgetHistory();
+  platform.store.compactHistory();
+  platform.publishRoutes([PAY]);
+  platform.store.compactHistory();
   await platform.clock.advance(1_000);
   platform.daemons.forEach(({running}) =>
     assert.equal(running?.catalog.stamp.routeVersion, 2),
@@ -229,62 +229,65 @@
 
 test('servers whose entries expire during a store outage keep their flows', async () => {
   const platform = await createPlatform();
-  Array.from({length: 11}, () => platform.call(PAY, 220, LONG_CALL_MS));
+  Array.from({length: 11}, () => platform.startCaller(PAY, 220, LONG_CALL_MS));
   await platform.clock.advance(300);
   platform.store.outages.set('', OutageKind.BUSY);
   await platform.clock.advance(3_000);
-  const expired = platform.liveServers('pay').slice(0, 4);
+  const expired = platform.listReadyServers('pay').slice(0, 4);
   expired.forEach(({entry}) => platform.store.removeServer(entry.id));
   await platform.clock.advance(500);
   platform.store.outages.clear();
   await platform.clock.advance(1_500);
   expired.forEach(({entry}) => platform.store.putServer(entry));
   await platform.clock.advance(8_000);
-  assert.deepEqual(platform.broken, []);
-  assert.equal(platform.tally.ends.answered, 11);
+  assert.deepEqual(platform.violations, []);
+  assert.equal(platform.callResults.outcomes.answered, 11);
 });
 
 test('a flow whose server has certainly ended is reset, so that the caller reconnects', async () => {
   const platform = await createPlatform();
   const callers = Array.from({length: 12}, () =>
-    platform.call(PAY, 5_000, 2 * LONG_CALL_MS),
+    platform.startCaller(PAY, 5_000, 2 * LONG_CALL_MS),
   );
   await platform.clock.advance(500);
-  const [ended] = platform.liveServers('pay');
+  const [ended] = platform.listReadyServers('pay');
   const affected = callers.filter(({server}) => server === ended.entry.id);
   platform.crashServer(ended, true, 2_300);
   await platform.clock.advance(26_000);
   assert.ok(affected.length > 0);
-  assert.equal(platform.tally.ends.cut, affected.length);
-  assert.deepEqual(platform.broken, []);
+  assert.equal(platform.callResults.outcomes.cut, affected.length);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('a server whose entry is removed keeps its flows while it still serves them', async () => {
   const platform = await createPlatform();
   const callers = Array.from({length: 12}, () =>
-    platform.call(PAY, 5_000, 2 * LONG_CALL_MS),
+    platform.startCaller(PAY, 5_000, 2 * LONG_CALL_MS),
   );
   await platform.clock.advance(500);
-  const [leaving] = platform.liveServers('pay');
+  const [leaving] = platform.listReadyServers('pay');
   assert.ok(callers.some(({server}) => server === leaving.entry.id));
   platform.store.removeServer(leaving.entry.id);
   await platform.clock.advance(12_000);
-  assert.equal(platform.tally.ends.cut, 0);
-  assert.deepEqual(platform.broken, []);
+  assert.equal(platform.callResults.outcomes.cut, 0);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('new flows avoid servers that are unresponsive or refuse connections', async () => {
   const platform = await createPlatform();
   await callFor(platform, 1_000);
-  const [silent, refusing] = platform.liveServers('pay');
+  const [silent, refusing] = platform.listReadyServers('pay');
   platform.crashServer(silent, true, 2_300);
   platform.crashServer(refusing, false, 2_300);
-  const before = platform.tally.ends.refused;
+  const before = platform.callResults.outcomes.refused;
   await callFor(platform, 2_000);
   await platform.clock.advance(3_000);
   // Each daemon may lose one opening before it detects the fault or hears of it by gossip.
-  assert.ok(platform.tally.ends.refused - before <= 8, 'refused too often');
-  assert.deepEqual(platform.broken, []);
+  assert.ok(
+    platform.callResults.outcomes.refused - before <= 8,
+    'refused too often',
+  );
+  assert.deepEqual(platform.violations, []);
 });
 
 const FAULTS = fc.array(
@@ -328,7 +331,7 @@
           injectFault(platform, fault, [PAY, DOCS]);
         }
         await callFor(platform, 5_000, 50);
-        const flows = platform.broken.filter(
+        const flows = platform.violations.filter(
           ({promise}) => promise !== 'configuration' && promise !== 'drain',
         );
         // Time bounds hold only while the store and the peers can be reached.
@@ -343,7 +346,7 @@
             'stop',
           ].includes(kind),
         );
-        assert.deepEqual(isSteady ? platform.broken : flows, []);
+        assert.deepEqual(isSteady ? platform.violations : flows, []);
       },
     ),
     {seed: 11, numRuns: Number(process.env['WELDYARD_FUZZ_RUNS'] ?? 25)},
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -7,7 +7,7 @@
 import {ReaderElection} from '../catalog/reader-election.js';
 import {CatalogReader} from '../catalog/catalog-reader.js';
 import {CatalogGossip} from '../catalog/catalog-gossip.js';
-import {EqualRatings} from '../feedback/server-ratings.js';
+import {UniformRatings} from '../feedback/server-ratings.js';
 import type {PeerAge} from '../generated/catalog.js';
 import {PeerView} from '../membership/peer-view.js';
 import type {CatalogSource} from '../ports/catalog-source.js';
@@ -17,7 +17,7 @@
 import type {FleetChannel} from '../ports/fleet-channel.js';
 import type {Hasher} from '../ports/hasher.js';
 import type {Log, LogFields} from '../ports/log.js';
-import type {ServerContact} from '../ports/server-contact.js';
+import type {ServerProber} from '../ports/server-prober.js';
 import {ServerReachability} from '../reachability/server-reachability.js';
 import {CookieRouter} from '../routing/cookie-router.js';
 import {formatIpv4} from '../routing/ipv4.js';
@@ -40,7 +40,7 @@
   readonly fabric: CookieFabric;
   readonly channel: FleetChannel;
   readonly source: CatalogSource;
-  readonly contact: ServerContact;
+  readonly prober: ServerProber;
   readonly clock: Clock;
   readonly hasher: Hasher;
   readonly random: Random;
@@ -143,7 +143,7 @@
    * and returns whether the daemon is ready. Holding the fabric's check open avoids the
    * wait of up to 500 ms for its next one.
    */
-  async isReadyBy(deadline: number): Promise<boolean> {
+  async waitUntilReady(deadline: number): Promise<boolean> {
     if (!this.catalog.isComplete && !this.isLeaving) {
       await new Promise<void>(resolve => {
         this.options.clock.callAt(deadline, resolve);
@@ -169,7 +169,7 @@
     log.warn('stopping', this.versionFields());
     await shutdown.awaitPeerCapacity();
     this.isLeaving = true;
-    this.election.noteLeaving(clock.now());
+    this.election.recordLeaving(clock.now());
     log.warn('leaving', this.versionFields());
     this.gossip.announce();
     await shutdown.awaitTrafficEnd();
@@ -200,21 +200,21 @@
     const {clock, random, counters, settings} = this.options;
     return CookieRouter.create({
       catalog: this.catalog,
-      work: this.serverLoad,
+      loadTracker: this.serverLoad,
       placement: this.placement,
       clock,
       random,
       counters,
       inForceLimitMs: settings.inForceLimitMs,
-      onSilent: ({id}) => this.onServerUnresponsive(id),
+      onUnresponsive: ({id}) => this.onServerUnresponsive(id),
       onUnanswered: server => this.reachability.investigate(server),
       isUnreachable: id => this.reachability.isUnreachable(id),
       regionOf: domain => settings.regions.get(domain),
       coldLimits: settings.coldLimits,
       countDaemons: () => this.peers.countDaemons(clock.now()),
-      ratings: EqualRatings.create(),
+      ratings: UniformRatings.create(),
       observer: undefined,
-      keepsPackets: settings.features.feedback,
+      retainsPackets: settings.features.feedback,
     });
   }
 
@@ -242,23 +242,24 @@
   }
 
   private createReachability(): ServerReachability {
-    const {settings, contact, clock, log} = this.options;
+    const {settings, prober: contact, clock, log} = this.options;
     const {address, failureDomain, flowLifetimeMs} = settings;
     return ServerReachability.create({
       self: address,
       failureDomain,
       flowLifetimeMs,
-      contact,
+      prober: contact,
       peers: this.peers,
       clock,
       log,
       serverById: id => this.catalog.serverById(id),
       isListed: id => this.catalog.isListed(id),
       countServers: service => this.catalog.countServers(service),
-      lastAnsweredAt: id => this.serverLoad.answeredAt(id),
-      requestProbes: (daemons, server) => this.gossip.ask(daemons, server),
+      lastAnsweredAt: id => this.serverLoad.lastAnsweredAt(id),
+      requestProbes: (daemons, server) =>
+        this.gossip.requestReachabilityCheck(daemons, server),
       sendVote: (daemon, server, result) =>
-        this.gossip.vote(daemon, server, result),
+        this.gossip.sendReachabilityVote(daemon, server, result),
       announce: () => this.gossip.announce(),
       onUnreachable: server => void this.terminator.onServerUnreachable(server),
     });
@@ -299,9 +300,9 @@
           isLarge || !this.placement.usesPeerLoad,
         ),
       snapshotExpectedUntil: () => this.reader.snapshotExpectedUntil,
-      onElectionChange: () => this.reader.lookAgain(),
-      onWork: (sender, work) =>
-        this.serverLoad.receive(sender, work, clock.now()),
+      onElectionChange: () => this.reader.reschedule(),
+      onLoadReport: (sender, work) =>
+        this.serverLoad.applyPeerLoad(sender, work, clock.now()),
     });
   }
 
--- a/src/entry/evacuation.spec.ts
+++ b/src/entry/evacuation.spec.ts
@@ -54,7 +54,7 @@
   count = 60,
 ): Promise<Map<string, number>> {
   const callers = Array.from({length: count}, () =>
-    platform.call(PAY, 1, 3_000),
+    platform.startCaller(PAY, 1, 3_000),
   );
   await platform.clock.advance(1_000);
   return countDomains(platform, callers);
@@ -67,7 +67,7 @@
   const domains = new Map<string, number>();
   callers.forEach(({server}) => {
     const domain =
-      platform.serverOf(server ?? '')?.entry.failureDomain ?? 'none';
+      platform.findServer(server ?? '')?.entry.failureDomain ?? 'none';
     domains.set(domain, (domains.get(domain) ?? 0) + 1);
   });
   return domains;
@@ -91,7 +91,7 @@
   domain: string,
 ): Promise<number> {
   const from = platform.clock.now();
-  platform.evacuate(domain);
+  platform.evacuateDomain(domain);
   while (daemonsUnawareOf(platform, domain).length > 0) {
     assert.ok(
       platform.clock.now() - from < 20_000,
@@ -109,7 +109,7 @@
 ): Promise<void> {
   const rounds = Math.floor(durationMs / 20);
   for (let round = 0; round < rounds; round += 1) {
-    platform.call(round % 3 === 0 ? DOCS : PAY, 1 + (round % 4), 3_000);
+    platform.startCaller(round % 3 === 0 ? DOCS : PAY, 1 + (round % 4), 3_000);
     await platform.clock.advance(20);
   }
 }
@@ -120,7 +120,7 @@
     const elapsedMs = await timeUntilKnown(platform, 'c');
     assert.ok(elapsedMs <= 1_000, `${elapsedMs} ms`);
     assert.equal((await countDomainsOfNewFlows(platform)).has('c'), false);
-    platform.restore('c');
+    platform.restoreDomain('c');
     await platform.clock.advance(1_000);
     assert.equal(daemonsUnawareOf(platform, 'c').length, daemons);
     // The restored servers may be cold for a moment.
@@ -132,70 +132,70 @@
 test('open flows stay on the servers of an evacuated domain', async () => {
   const platform = await createPlatform();
   const callers = Array.from({length: 30}, () =>
-    platform.call(PAY, 300, LONG_CALL_MS),
+    platform.startCaller(PAY, 300, LONG_CALL_MS),
   );
   await platform.clock.advance(500);
   assert.ok((countDomains(platform, callers).get('c') ?? 0) > 0);
-  platform.evacuate('c');
+  platform.evacuateDomain('c');
   await platform.clock.advance(LONG_CALL_MS);
-  assert.equal(platform.tally.ends.answered, callers.length);
-  assert.deepEqual(platform.broken, []);
+  assert.equal(platform.callResults.outcomes.answered, callers.length);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('a retransmitted opening packet is not sent to an evacuated domain', async () => {
   const platform = await createPlatform();
-  platform.evacuate('a');
-  platform.evacuate('b');
+  platform.evacuateDomain('a');
+  platform.evacuateDomain('b');
   await platform.clock.advance(1_000);
   // The servers of the only domain that is not evacuated are paused, so callers retransmit.
   platform
-    .liveServers('pay')
+    .listReadyServers('pay')
     .filter(({entry}) => entry.failureDomain === 'c')
     .forEach(server => platform.pauseServer(server, 1_000));
   await callFor(platform, 600);
-  platform.evacuate('c');
-  platform.restore('a');
+  platform.evacuateDomain('c');
+  platform.restoreDomain('a');
   await platform.clock.advance(600);
   const taken = await countDomainsOfNewFlows(platform);
   assert.deepEqual([...taken.keys()], ['a']);
   await platform.clock.advance(6_000);
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('no flow goes to an evacuated domain although most other servers are unresponsive', async () => {
   const platform = await createPlatform();
-  platform.evacuate('c');
+  platform.evacuateDomain('c');
   await platform.clock.advance(6_000);
   platform
-    .liveServers('pay')
+    .listReadyServers('pay')
     .filter(({entry}) => entry.failureDomain !== 'c')
     .slice(0, 5)
     .forEach(server => platform.pauseServer(server, 5_000));
   await callFor(platform, 4_000);
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('a service whose domains are all evacuated is refused at once, until one is restored', async () => {
   const platform = await createPlatform();
-  DOMAINS.forEach(domain => platform.evacuate(domain));
+  DOMAINS.forEach(domain => platform.evacuateDomain(domain));
   await platform.clock.advance(1_000);
-  const before = platform.tally.ends.refused;
-  Array.from({length: 20}, () => platform.call(PAY, 1, 3_000));
+  const before = platform.callResults.outcomes.refused;
+  Array.from({length: 20}, () => platform.startCaller(PAY, 1, 3_000));
   await platform.clock.advance(10);
-  assert.equal(platform.tally.ends.refused - before, 20);
-  platform.restore('b');
+  assert.equal(platform.callResults.outcomes.refused - before, 20);
+  platform.restoreDomain('b');
   await platform.clock.advance(500);
   assert.deepEqual([...(await countDomainsOfNewFlows(platform)).keys()], ['b']);
 });
 
 test('evacuations and restorations that are rapid, repeated or of a domain without servers leave no stale state', async () => {
   const platform = await createPlatform();
-  ['c', 'nowhere', 'c'].forEach(domain => platform.evacuate(domain));
+  ['c', 'nowhere', 'c'].forEach(domain => platform.evacuateDomain(domain));
   await platform.clock.advance(300);
-  platform.restore('c');
+  platform.restoreDomain('c');
   await platform.clock.advance(300);
-  platform.evacuate('c');
-  platform.restore('c');
+  platform.evacuateDomain('c');
+  platform.restoreDomain('c');
   await platform.clock.advance(1_000);
   assert.equal(daemonsUnawareOf(platform, 'c').length, 6);
   assert.equal(daemonsUnawareOf(platform, 'nowhere').length, 0);
@@ -205,10 +205,10 @@
 test('daemons that all restart from a stale catalog keep an evacuation, and learn of a later one within 1.5 s', async () => {
   const platform = await createPlatform(30);
   // Stale reads return the state of 6 s ago, before the evacuation of "c".
-  platform.store.lagMs = 6_000;
-  platform.evacuate('a');
+  platform.store.staleReadLagMs = 6_000;
+  platform.evacuateDomain('a');
   await platform.clock.advance(7_000);
-  platform.evacuate('c');
+  platform.evacuateDomain('c');
   await platform.clock.advance(500);
   const names = [...platform.daemons.keys()];
   names.forEach(name => platform.killDaemon(name));
@@ -222,8 +222,8 @@
 
 test('a daemon that starts from a stale catalog learns of an evacuation from its peers within 300 ms', async () => {
   const platform = await createPlatform(30);
-  platform.store.lagMs = 6_000;
-  platform.evacuate('c');
+  platform.store.staleReadLagMs = 6_000;
+  platform.evacuateDomain('c');
   await platform.clock.advance(1_000);
   platform.killDaemon('d7');
   await platform.clock.advance(500);
@@ -234,17 +234,17 @@
 
 test('a daemon partitioned from the store and its peers keeps the evacuation that it knows', async () => {
   const platform = await createPlatform();
-  platform.evacuate('c');
+  platform.evacuateDomain('c');
   await platform.clock.advance(1_000);
-  platform.cutFromPeers('d4', true);
+  platform.setPartitionedFromPeers('d4', true);
   platform.store.outages.set('d4', OutageKind.SILENT);
   await platform.clock.advance(10_000);
   assert.deepEqual(daemonsUnawareOf(platform, 'c'), []);
-  platform.restore('c');
+  platform.restoreDomain('c');
   await platform.clock.advance(5_000);
   // The partitioned daemon cannot learn of the restoration.
   assert.equal(daemonsUnawareOf(platform, 'c').length, 5);
-  platform.cutFromPeers('d4', false);
+  platform.setPartitionedFromPeers('d4', false);
   await platform.clock.advance(3_000);
   assert.equal(daemonsUnawareOf(platform, 'c').length, 6);
 });
@@ -258,17 +258,19 @@
   'all but five daemons rejected by the store': platform =>
     rejectStoreCalls(platform, (_name, index) => index >= 5),
   'a store with 240 ms of latency': platform => {
-    platform.store.answerMs = 240;
+    platform.store.responseLatencyMs = 240;
   },
   'store events discarded every second': platform =>
     discardEventsEvery(platform, 1_000),
   'a fifth of the datagrams between daemons lost': platform => {
-    platform.network.loss = 0.2;
+    platform.network.heartbeatLossRate = 0.2;
   },
   'both readers killed': platform =>
     readersOf(platform).forEach(name => platform.killDaemon(name)),
   'both readers partitioned from their peers': platform =>
-    readersOf(platform).forEach(name => platform.cutFromPeers(name, true)),
+    readersOf(platform).forEach(name =>
+      platform.setPartitionedFromPeers(name, true),
+    ),
   'both readers without responses from the store': platform =>
     readersOf(platform).forEach(name =>
       platform.store.outages.set(name, OutageKind.SILENT),
@@ -276,7 +278,7 @@
   'a fifth of the daemons partitioned from their peers': platform =>
     [...platform.daemons.keys()]
       .filter((_name, index) => index % 5 === 0)
-      .forEach(name => platform.cutFromPeers(name, true)),
+      .forEach(name => platform.setPartitionedFromPeers(name, true)),
 };
 
 function rejectStoreCalls(
@@ -292,7 +294,7 @@
   platform: SimulatedPlatform,
   everyMs: number,
 ): void {
-  platform.store.forgetHistory();
+  platform.store.compactHistory();
   platform.clock.callAt(platform.clock.now() + everyMs, () =>
     discardEventsEvery(platform, everyMs),
   );
@@ -301,7 +303,7 @@
 /** Names of the elected readers, by the last `reader-changed` log line of each daemon. */
 function readersOf(platform: SimulatedPlatform): string[] {
   const isReaderByName = new Map<string, boolean>();
-  platform.lines
+  platform.logEntries
     .filter(({event}) => event === 'reader-changed')
     .forEach(({process, fields}) =>
       isReaderByName.set(process, fields['waits'] === true),
@@ -355,7 +357,7 @@
           injectFault(platform, fault, [PAY, DOCS]);
         }
         await callFor(platform, 9_000);
-        assert.deepEqual(platform.broken, []);
+        assert.deepEqual(platform.violations, []);
       },
     ),
     {
--- a/src/entry/flow-terminator.spec.ts
+++ b/src/entry/flow-terminator.spec.ts
@@ -62,7 +62,9 @@
   const spanMs = Math.max(pauseMs, 1_000);
   Array.from({length: count}, (_flow, index) =>
     clock.callAt(clock.now() + (spanMs * index) / count, () =>
-      callers.push(platform.call(PAY, MANY_REQUESTS, LONG_CALL_MS, pauseMs)),
+      callers.push(
+        platform.startCaller(PAY, MANY_REQUESTS, LONG_CALL_MS, pauseMs),
+      ),
     ),
   );
   await clock.advance(spanMs + 100);
@@ -82,7 +84,7 @@
 }
 
 function linesOf(platform: SimulatedPlatform, kind: string) {
-  return platform.lines.filter(({event}) => event === kind);
+  return platform.logEntries.filter(({event}) => event === kind);
 }
 
 [
@@ -92,7 +94,7 @@
   test(`callers waiting for a restarted server are reset by it ${when}, feedback ${features === undefined ? 'off' : 'on'}`, async () => {
     const platform = await createBusyPlatform({features});
     const callers = await openFlows(platform, 60);
-    const [server] = platform.liveServers('pay');
+    const [server] = platform.listReadyServers('pay');
     const waiting = flowsAt(callers, [server]);
     platform.restartServer(server);
     await platform.clock.advance(1_000);
@@ -106,14 +108,14 @@
     );
     const sum = flows.reduce((total, each) => total + each, 0);
     assert.equal(sum, when === 'never' ? 0 : waiting.length);
-    assert.deepEqual(platform.broken, []);
+    assert.deepEqual(platform.violations, []);
   }),
 );
 
 test('callers of a restarted server are reset after its partition heals, or at its new address', async () => {
   const platform = await createBusyPlatform();
   const callers = await openFlows(platform, 60);
-  const [cut, moved] = platform.liveServers('pay');
+  const [cut, moved] = platform.listReadyServers('pay');
   const waiting = flowsAt(callers, [cut, moved]);
   platform.pauseServer(platform.restartServer(cut), 3_000);
   platform.moveServer(moved);
@@ -122,7 +124,7 @@
   assert.deepEqual(new Set(early), new Set(flowsAt(callers, [moved])));
   await platform.clock.advance(3_000);
   assert.equal(endedOf(callers).length, waiting.length);
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('packets of open flows follow a server that restarted at another address', async () => {
@@ -131,21 +133,21 @@
     confirms: false,
   });
   const callers = await openFlows(platform, 60);
-  const moved = platform.liveServers('pay').slice(0, 3);
+  const moved = platform.listReadyServers('pay').slice(0, 3);
   const waiting = flowsAt(callers, moved);
   moved.forEach(server => platform.moveServer(server));
   // Callers whose requests were not confirmed send them again.
   await platform.clock.advance(2_500);
   assert.ok(waiting.length >= 9, `${waiting.length} flows`);
   assert.equal(endedOf(waiting).length, waiting.length);
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('callers of a restarted server are reset although a fifth of the heartbeats is lost', async () => {
   const platform = await createBusyPlatform();
-  platform.network.loss = 0.2;
+  platform.network.heartbeatLossRate = 0.2;
   const callers = await openFlows(platform, 60);
-  const [server] = platform.liveServers('pay');
+  const [server] = platform.listReadyServers('pay');
   platform.restartServer(server);
   await platform.clock.advance(2_500);
   const waiting = flowsAt(callers, [server]);
@@ -157,7 +159,7 @@
   await openFlows(platform, 60, 300);
   platform.store.outages.set('', OutageKind.REFUSED);
   const restarted = platform
-    .liveServers('pay')
+    .listReadyServers('pay')
     .slice(0, 5)
     .map(server => platform.restartServer(server));
   await platform.clock.advance(500);
@@ -169,13 +171,13 @@
   assert.ok(flowsAtRestarted.length >= 15, `${flowsAtRestarted.length} flows`);
   assert.deepEqual(endedOf(flowsAtRestarted), []);
   assert.ok(flowsAtRestarted.every(({answers}) => answers >= 5));
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('a restarted server gets new flows at once, whatever was known before the restart', async () => {
   const platform = await createPlatform();
   await openFlows(platform, 60, 200);
-  const [server] = platform.liveServers('pay');
+  const [server] = platform.listReadyServers('pay');
   platform.crashServer(server, true, LONG_CALL_MS);
   await platform.clock.advance(2_500);
   assert.ok(linesOf(platform, 'server-unreachable').length > 0);
@@ -184,7 +186,7 @@
   const later = await openFlows(platform, 200, 200);
   const share = flowsAt(later, [restarted]).length;
   assert.ok(share >= 10, `${share} of 200 flows`);
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 /** Crashes a quarter of 84 servers while most flows of non-repeatable requests are idle. */
@@ -192,7 +194,7 @@
   const services = [{name: 'pay', servers: 84, slots: 2, workMs: 20}];
   const platform = await createPlatform({services, features});
   const callers = await openFlows(platform, 1_000, 4_000);
-  const silent = platform.liveServers('pay').slice(0, 21);
+  const silent = platform.listReadyServers('pay').slice(0, 21);
   silent.forEach(server => platform.crashServer(server, true, 2_300));
   await platform.clock.advance(6_000);
   const affected = flowsAt(callers, silent);
@@ -213,13 +215,13 @@
     saved.length >= affected.length / 2,
     `${saved.length} of ${affected.length} saved, ${lost.length} lost`,
   );
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('idle flows of a server that has certainly ended are reset at once, busy flows are not', async () => {
   const platform = await createPlatform();
   const callers = await openFlows(platform, 60, 10_000);
-  const [server] = platform.liveServers('pay');
+  const [server] = platform.listReadyServers('pay');
   const idle = flowsAt(callers, [server]);
   platform.crashServer(server, true, LONG_CALL_MS);
   await platform.clock.advance(500);
@@ -230,10 +232,10 @@
   assert.ok(
     idle.every(({ending, isWaiting}) => ending === 'cut' && !isWaiting),
   );
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
   const busy = await createBusyPlatform();
   const waiting = await openFlows(busy, 60);
-  const [ended] = busy.liveServers('pay');
+  const [ended] = busy.listReadyServers('pay');
   busy.crashServer(ended, true, LONG_CALL_MS);
   busy.startServer('pay', ended.entry.address);
   await busy.clock.advance(2_000);
@@ -243,25 +245,25 @@
 test('idle flows of running servers are never reset while other servers are unreachable', async () => {
   const platform = await createPlatform();
   const callers = await openFlows(platform, 200, 700);
-  const servers = platform.liveServers('pay');
+  const servers = platform.listReadyServers('pay');
   const paused = servers.slice(0, 3);
   const cut = [...platform.daemons.keys()].slice(0, 4);
   paused.forEach(server => platform.pauseServer(server, 3_000));
-  cut.forEach(name => platform.cutFromServers.add(name));
+  cut.forEach(name => platform.partitionedFromServers.add(name));
   await platform.clock.advance(12_000);
   const untouched = flowsAt(callers, servers.slice(3));
   assert.ok(untouched.length >= 100);
   assert.ok(untouched.every(({ending}) => ending !== 'cut'));
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('a server whose entry was overwritten with invalid data keeps its flows', async () => {
   const platform = await createPlatform();
   const callers = await openFlows(platform, 60, 200);
-  const [server] = platform.liveServers('pay');
+  const [server] = platform.listReadyServers('pay');
   const kept = flowsAt(callers, [server]);
   const callsBefore = platform.store.calls;
-  platform.spoilEntry(server);
+  platform.corruptEntry(server);
   await platform.clock.advance(5_000);
   const calls = platform.store.calls - callsBefore;
   assert.ok(
@@ -269,7 +271,7 @@
     `two daemons long-poll with 1.5 s each: ${calls} calls`,
   );
   // Discarded events force full reads, which must keep it too.
-  platform.store.forgetHistory();
+  platform.store.compactHistory();
   const later = await openFlows(platform, 60, 200);
   await platform.clock.advance(25_000);
   assert.ok(kept.length >= 4);
@@ -277,13 +279,13 @@
   assert.deepEqual(flowsAt(later, [server]), []);
   const logged = linesOf(platform, 'server-entry-unreadable');
   assert.equal(logged.length, platform.daemons.size, 'one line per daemon');
-  platform.mendEntry(server);
+  platform.rewriteEntry(server);
   await platform.clock.advance(1_000);
   const last = await openFlows(platform, 60, 200);
   assert.ok(flowsAt(last, [server]).length >= 2);
   assert.deepEqual(endedOf(kept), []);
   assert.equal(linesOf(platform, 'server-restarted').length, 0);
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 [10, 105].forEach(servers =>
@@ -291,9 +293,9 @@
     const services = [{name: 'pay', servers, slots: 2, workMs: 20}];
     const platform = await createPlatform({services});
     const callers = await openFlows(platform, 4 * servers, 500);
-    const spoiled = platform.liveServers('pay').slice(0, 4);
+    const spoiled = platform.listReadyServers('pay').slice(0, 4);
     const kept = flowsAt(callers, spoiled);
-    spoiled.forEach(server => platform.spoilEntry(server));
+    spoiled.forEach(server => platform.corruptEntry(server));
     await platform.clock.advance(2_000);
     const started = [...platform.daemons.keys()].slice(0, 25);
     started.forEach(name => platform.killDaemon(name));
@@ -306,28 +308,28 @@
       assert.ok(answers >= before[index] + 4, `${answers - before[index]}`),
     );
     assert.deepEqual(endedOf(callers), []);
-    assert.deepEqual(platform.broken, []);
+    assert.deepEqual(platform.violations, []);
   }),
 );
 
 test('when all daemons restart while an entry is invalid, its flows wait and none is reset', async () => {
   const platform = await createPlatform();
   const callers = await openFlows(platform, 60, 200);
-  const [server] = platform.liveServers('pay');
+  const [server] = platform.listReadyServers('pay');
   const kept = flowsAt(callers, [server]);
-  platform.spoilEntry(server);
+  platform.corruptEntry(server);
   await platform.clock.advance(2_000);
   const names = [...platform.daemons.keys()];
   names.forEach(name => platform.killDaemon(name));
   await Promise.all(names.map(name => platform.startDaemon(name)));
   await platform.clock.advance(25_000);
   assert.deepEqual(endedOf(kept), []);
-  platform.mendEntry(server);
+  platform.rewriteEntry(server);
   await platform.clock.advance(4_000);
   const before = kept.map(({answers}) => answers);
   await platform.clock.advance(2_000);
   kept.forEach(({answers}, index) => assert.ok(answers > before[index]));
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 const DOCS = createRoute('docs', {
@@ -395,7 +397,7 @@
           hasher,
         );
         const call = (index: number) =>
-          platform.call(index % 2 === 0 ? PAY : DOCS, 50, 15_000, 300);
+          platform.startCaller(index % 2 === 0 ? PAY : DOCS, 50, 15_000, 300);
         Array.from({length: 30}, (_call, index) => call(index));
         for (const fault of faults) {
           await platform.clock.advance(fault.afterMs);
@@ -404,7 +406,7 @@
         }
         await platform.clock.advance(10_000);
         // Other guarantees hold only while the store responds.
-        const flows = platform.broken.filter(({promise}) =>
+        const flows = platform.violations.filter(({promise}) =>
           ['reset', 'flow', 'route'].includes(promise),
         );
         assert.deepEqual(flows, []);
--- a/src/entry/flow-terminator.ts
+++ b/src/entry/flow-terminator.ts
@@ -14,7 +14,7 @@
 import type {Log} from '../ports/log.js';
 import type {ServerReachability} from '../reachability/server-reachability.js';
 import {RefusalReason, type CookieRouter} from '../routing/cookie-router.js';
-import type {SeenFlow} from '../routing/seen-flows.js';
+import type {TrackedFlow} from '../routing/flow-tracker.js';
 import type {ServerLoadTracker} from '../routing/server-load-tracker.js';
 import {flowFields} from './log-fields.js';
 import type {PacketHandler} from './packet-handler.js';
@@ -93,8 +93,8 @@
   private onServerRestarted(server: CatalogServer): void {
     const {router, serverLoad, clock, log} = this.options;
     const flows = router.flows
-      .renew(server)
-      .filter(({isOpen, kept}) => isOpen && kept !== undefined);
+      .rebindFlows(server)
+      .filter(({isOpen, retainedPacket: kept}) => isOpen && kept !== undefined);
     serverLoad.forget(server.id);
     const {id, service} = server;
     log.info('server-restarted', {server: id, service, flows: flows.length});
@@ -110,7 +110,7 @@
 
   private onServerEnded(server: CatalogServer): void {
     const {isEnabled, packetHandler, router} = this.options;
-    if (isEnabled && router.isCurrent()) {
+    if (isEnabled && router.isCatalogCurrent()) {
       packetHandler.resetWaitingCallers(server, RefusalReason.SERVER_GONE);
       this.resetIdleFlows(server);
     }
@@ -121,14 +121,14 @@
     this.queue.add(idle.map(flow => this.createResetTask(flow, server)));
   }
 
-  private listIdleFlows({id}: CatalogServer): SeenFlow[] {
+  private listIdleFlows({id}: CatalogServer): TrackedFlow[] {
     const {isEnabled, router} = this.options;
-    return isEnabled ? router.flows.idleAt(id) : [];
+    return isEnabled ? router.flows.listIdle(id) : [];
   }
 
   /** Queues the resends, unless the server restarted again or cannot be reached. */
   private resendPackets(
-    flows: readonly SeenFlow[],
+    flows: readonly TrackedFlow[],
     server: CatalogServer,
     restartedAt: number,
   ): void {
@@ -147,13 +147,13 @@
    * server answer or reset the flow.
    */
   private createResendTask(
-    flow: SeenFlow,
+    flow: TrackedFlow,
     server: CatalogServer,
     restartedAt: number,
   ): SendTask {
     const {fabric, counters} = this.options;
     return () => {
-      const {kept, hasEnded, seenAt} = flow;
+      const {retainedPacket: kept, hasEnded, lastPacketAt: seenAt} = flow;
       if (kept === undefined || hasEnded || seenAt > restartedAt) {
         return 0;
       }
@@ -167,11 +167,11 @@
    * The task checks again when it runs: the server may have become reachable, or the flow
    * busy, since it was queued.
    */
-  private createResetTask(flow: SeenFlow, server: CatalogServer): SendTask {
+  private createResetTask(flow: TrackedFlow, server: CatalogServer): SendTask {
     const {fabric, log, counters, router} = this.options;
     return () => {
       const reason = this.findResetReason(server);
-      if (reason === undefined || !router.flows.endIdle(flow)) {
+      if (reason === undefined || !router.flows.endIfIdle(flow)) {
         return 0;
       }
       fabric.reset(flow.caller);
@@ -188,7 +188,7 @@
   /** Returns why flows of a server may be reset now; undefined if they may not. */
   private findResetReason(server: CatalogServer): RefusalReason | undefined {
     const {catalog, router} = this.options;
-    if (catalog.hasEnded(server) && router.isCurrent()) {
+    if (catalog.hasEnded(server) && router.isCatalogCurrent()) {
       return RefusalReason.SERVER_GONE;
     }
     return this.options.reachability.isUnreachable(server.id)
--- a/src/entry/large-fleet.spec.ts
+++ b/src/entry/large-fleet.spec.ts
@@ -29,7 +29,7 @@
 /** Daemons that read the store, according to their last log line about it. */
 function readersOf(platform: SimulatedPlatform): string[] {
   const waits = new Map<string, boolean>();
-  platform.lines
+  platform.logEntries
     .filter(({event}) => event === 'reader-changed')
     .forEach(({process, fields}) =>
       waits.set(process, fields['waits'] === true),
@@ -42,7 +42,7 @@
     const platform = await createFleet(daemons);
     const callsBefore = platform.store.calls;
     await platform.clock.advance(CALM_MS);
-    const lost = platform.lines.filter(({event}) => event === 'peer-lost');
+    const lost = platform.logEntries.filter(({event}) => event === 'peer-lost');
     assert.equal(lost.length, 0);
     assert.equal(readersOf(platform).length, 2);
     // Two readers call every 1.7 s, regardless of the fleet's size.
@@ -58,7 +58,7 @@
     const platform = await createFleet(daemons);
     await platform.clock.advance(1_000);
     readersOf(platform).forEach(name => platform.killDaemon(name));
-    platform.publish([ROUTE]);
+    platform.publishRoutes([ROUTE]);
     const callsBefore = platform.store.calls;
     await platform.clock.advance(BOUNDS.configurationMs);
     assert.deepEqual([...versionsOf(platform)], [2]);
@@ -78,7 +78,7 @@
     const calls = platform.store.calls - callsBefore;
     assert.ok(calls <= 60, `${calls} calls in 10 s`);
     platform.store.outages.clear();
-    platform.publish([ROUTE]);
+    platform.publishRoutes([ROUTE]);
     await platform.clock.advance(2_000);
     assert.deepEqual([...versionsOf(platform)], [2]);
   }),
@@ -93,7 +93,7 @@
     .forEach(name => platform.store.outages.set(name, OutageKind.SILENT));
   const callsBefore = platform.store.calls;
   for (let round = 0; round < 4; round += 1) {
-    platform.publish([ROUTE]);
+    platform.publishRoutes([ROUTE]);
     await platform.clock.advance(BOUNDS.configurationMs);
     assert.deepEqual([...versionsOf(platform)], [2 + round]);
   }
@@ -118,10 +118,10 @@
   const platform = await createFleet(30);
   const names = [...platform.daemons.keys()];
   const cut = names.slice(0, 10);
-  cut.forEach(name => platform.cutFromPeers(name, true));
+  cut.forEach(name => platform.setPartitionedFromPeers(name, true));
   await platform.clock.advance(4_000);
   const callsBefore = platform.store.calls;
-  platform.publish([ROUTE]);
+  platform.publishRoutes([ROUTE]);
   await platform.clock.advance(BOUNDS.configurationMs);
   assert.deepEqual([...versionsOf(platform)], [2]);
   await platform.clock.advance(9_000 - BOUNDS.configurationMs);
@@ -131,14 +131,14 @@
 
 /** Peers logged as lost since a line, as "daemon: peer". */
 function lostSince(platform: SimulatedPlatform, firstLine: number): string[] {
-  return platform.lines
+  return platform.logEntries
     .slice(firstLine)
     .filter(({event}) => event === 'peer-lost')
     .map(({process, fields}) => `${process}: ${fields['peer']}`);
 }
 
 function addressOf(platform: SimulatedPlatform, name: string): string {
-  return formatIpv4(platform.daemonOf(name).settings.address);
+  return formatIpv4(platform.getDaemon(name).settings.address);
 }
 
 /** Route versions that the running daemons hold. */
@@ -153,7 +153,7 @@
 test('killed daemons are logged as lost within 6 s, at most once by each daemon', async () => {
   const platform = await createFleet(195);
   const ended = Array.from({length: 12}, (_daemon, index) => `d${index * 16}`);
-  const firstLine = platform.lines.length;
+  const firstLine = platform.logEntries.length;
   ended.forEach(name => platform.killDaemon(name));
   await platform.clock.advance(6_000);
   const reports = lostSince(platform, firstLine);
@@ -170,7 +170,7 @@
     .filter((_name, index) => index % 2 === 0)
     .forEach(name => platform.killDaemon(name));
   await platform.clock.advance(6_000);
-  platform.publish([ROUTE]);
+  platform.publishRoutes([ROUTE]);
   await platform.clock.advance(BOUNDS.configurationMs);
   assert.deepEqual([...versionsOf(platform)], [2]);
 });
@@ -179,12 +179,14 @@
   const platform = await createFleet(88);
   const names = [...platform.daemons.keys()];
   const domainOf = (name: string) =>
-    platform.daemonOf(name).settings.failureDomain;
+    platform.getDaemon(name).settings.failureDomain;
   const inside = names.filter(name => domainOf(name) === 'a');
   const outside = names.filter(name => domainOf(name) !== 'a');
   const setPartitioned = (isPartitioned: boolean) =>
     inside.forEach(name =>
-      outside.forEach(other => platform.cutBetween(name, other, isPartitioned)),
+      outside.forEach(other =>
+        platform.setPartitionedBetween(name, other, isPartitioned),
+      ),
     );
   setPartitioned(true);
   await platform.clock.advance(20_000);
@@ -192,7 +194,7 @@
   // Without the store, the domain depends on its peers for the new version.
   inside.forEach(name => platform.store.outages.set(name, OutageKind.SILENT));
   await platform.clock.advance(10_000);
-  platform.publish([ROUTE]);
+  platform.publishRoutes([ROUTE]);
   await platform.clock.advance(BOUNDS.configurationMs);
   assert.deepEqual([...versionsOf(platform)], [2]);
 });
--- a/src/entry/packet-handler.ts
+++ b/src/entry/packet-handler.ts
@@ -55,7 +55,7 @@
       log.info('flow-placed', {
         ...flowFields(packet),
         server: server.id,
-        copy: packet.openCopy,
+        copy: packet.openAttempt,
         unfinished: serverLoad.countLocalInFlight(server.id),
         ...this.options.versionFields(),
       });
@@ -99,7 +99,7 @@
     reason: RefusalReason = RefusalReason.SERVER_UNREACHABLE,
   ): void {
     const {fabric, log, counters, router} = this.options;
-    router.takeCutOff(server).forEach(caller => {
+    router.takeRetryableCallers(server).forEach(caller => {
       fabric.reset(caller);
       counters.add(Metric.PACKETS_UNROUTABLE);
       log.info('flow-reset', {
--- a/src/entry/settings-file.ts
+++ b/src/entry/settings-file.ts
@@ -11,7 +11,7 @@
 import type {EntrySettings} from './settings.js';
 
 /** Matches a section heading that only this kind of settings file has. */
-export const ENTRY_HEADING = /^\s*\[instance\]/m;
+export const ENTRY_SECTION_PATTERN = /^\s*\[instance\]/m;
 
 const MAX_PORT = 65_535;
 const MILLICORES_PER_CORE = 1_000;
--- a/src/entry/settings.ts
+++ b/src/entry/settings.ts
@@ -1,5 +1,5 @@
 /** Settings of a daemon that serves a fabric with cookies. */
-import type {ColdLimits} from '../routing/cold-openings.js';
+import type {ColdStartLimits} from '../routing/cold-start-limiter.js';
 
 /** Optional features; off by default. */
 export interface EntryFeatures {
@@ -48,6 +48,6 @@
    */
   readonly inForceLimitMs: number;
   /** Load that cold servers accept beyond the rate configured for their service. */
-  readonly coldLimits: ColdLimits;
+  readonly coldLimits: ColdStartLimits;
   readonly features: EntryFeatures;
 }
--- a/src/entry/silent-servers.spec.ts
+++ b/src/entry/silent-servers.spec.ts
@@ -50,7 +50,7 @@
   count: number,
 ): Promise<CookieCaller[]> {
   const callers = Array.from({length: count}, () =>
-    platform.call(route, MANY_REQUESTS, LONG_CALL_MS),
+    platform.startCaller(route, MANY_REQUESTS, LONG_CALL_MS),
   );
   await platform.clock.advance(1_000);
   return callers;
@@ -68,57 +68,57 @@
   test(`flows are reset within 1.2 s when a quarter of a service crashes, with ${daemons} daemons`, async () => {
     const platform = await createPlatform(daemons);
     const callers = await openFlows(platform, FEED, 120);
-    const silent = platform.liveServers('feed').slice(0, SERVERS / 4);
+    const silent = platform.listReadyServers('feed').slice(0, SERVERS / 4);
     silent.forEach(server => platform.crashServer(server, true, 2_300));
     await platform.clock.advance(1_200);
     const affected = flowsAt(callers, silent);
     assert.ok(affected.length >= 15, `${affected.length} flows`);
-    assert.equal(platform.tally.ends.cut, affected.length);
+    assert.equal(platform.callResults.outcomes.cut, affected.length);
     await platform.clock.advance(5_000);
-    assert.equal(platform.tally.ends.cut, affected.length);
-    assert.deepEqual(platform.broken, []);
+    assert.equal(platform.callResults.outcomes.cut, affected.length);
+    assert.deepEqual(platform.violations, []);
   }),
 );
 
 test('flows of non-repeatable requests stay on an unresponsive server', async () => {
   const platform = await createPlatform(30);
   const callers = await openFlows(platform, PAY, 60);
-  const silent = platform.liveServers('pay').slice(0, 3);
+  const silent = platform.listReadyServers('pay').slice(0, 3);
   silent.forEach(server => platform.pauseServer(server, 3_000));
   await platform.clock.advance(10_000);
   assert.ok(flowsAt(callers, silent).length >= 10);
-  assert.equal(platform.tally.ends.cut, 0);
-  assert.deepEqual(platform.broken, []);
+  assert.equal(platform.callResults.outcomes.cut, 0);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('a server that is unresponsive for 250 ms keeps its flows', async () => {
   const platform = await createPlatform(30);
   await openFlows(platform, FEED, 120);
   platform
-    .liveServers('feed')
+    .listReadyServers('feed')
     .slice(0, 10)
     .forEach(server => platform.pauseServer(server, 250));
   await platform.clock.advance(5_000);
-  assert.equal(platform.tally.ends.cut, 0);
+  assert.equal(platform.callResults.outcomes.cut, 0);
 });
 
 test('a server that responds again after 3 s gets new flows within 1.5 s', async () => {
   const platform = await createPlatform(30);
   await openFlows(platform, FEED, 120);
-  const silent = platform.liveServers('feed').slice(0, 10);
+  const silent = platform.listReadyServers('feed').slice(0, 10);
   silent.forEach(server => platform.pauseServer(server, 3_000));
   await platform.clock.advance(4_500);
   const later = await openFlows(platform, FEED, 200);
   assert.ok(flowsAt(later, silent).length >= 20);
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('servers that take 2 s per request count as reachable and keep their flows', async () => {
   const platform = await createPlatform(30, ['a', 'b'], 2_000);
   await openFlows(platform, FEED, 100);
   await platform.clock.advance(10_000);
-  assert.equal(platform.tally.ends.cut, 0);
-  assert.deepEqual(platform.broken, []);
+  assert.equal(platform.callResults.outcomes.cut, 0);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('no flow is reset when one failure domain of daemons cannot reach the servers', async () => {
@@ -126,49 +126,49 @@
   await openFlows(platform, FEED, 120);
   [...platform.daemons.values()]
     .filter(({settings}) => settings.failureDomain === 'a')
-    .forEach(({name}) => platform.cutFromServers.add(name));
+    .forEach(({name}) => platform.partitionedFromServers.add(name));
   await platform.clock.advance(5_000);
-  assert.equal(platform.tally.ends.cut, 0);
-  assert.deepEqual(platform.broken, []);
+  assert.equal(platform.callResults.outcomes.cut, 0);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('a daemon without peers resets no flow', async () => {
   const platform = await createPlatform(1);
   await openFlows(platform, FEED, 60);
   platform
-    .liveServers('feed')
+    .listReadyServers('feed')
     .slice(0, 10)
     .forEach(server => platform.pauseServer(server, 3_000));
   await platform.clock.advance(6_000);
-  assert.equal(platform.tally.ends.cut, 0);
+  assert.equal(platform.callResults.outcomes.cut, 0);
 });
 
 test('unresponsive servers are detected although a fifth of the datagrams between daemons is lost', async () => {
   const platform = await createPlatform(60);
-  platform.network.loss = 0.2;
+  platform.network.heartbeatLossRate = 0.2;
   const callers = await openFlows(platform, FEED, 120);
-  const silent = platform.liveServers('feed').slice(0, 10);
+  const silent = platform.listReadyServers('feed').slice(0, 10);
   silent.forEach(server => platform.crashServer(server, true, 2_300));
   await platform.clock.advance(3_000);
   const affected = flowsAt(callers, silent).length;
   assert.ok(
-    platform.tally.ends.cut >= affected * 0.9,
-    `${platform.tally.ends.cut}`,
+    platform.callResults.outcomes.cut >= affected * 0.9,
+    `${platform.callResults.outcomes.cut}`,
   );
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
 
 test('at least 30% of the flows are kept when most of a service is unresponsive, as in a network fault', async () => {
   const platform = await createPlatform(30);
   const callers = await openFlows(platform, FEED, 120);
-  const silent = platform.liveServers('feed').slice(0, 36);
+  const silent = platform.listReadyServers('feed').slice(0, 36);
   silent.forEach(server => platform.pauseServer(server, 2_900));
   await platform.clock.advance(10_000);
   const affected = flowsAt(callers, silent).length;
   assert.ok(affected >= 100, `${affected} flows`);
   assert.ok(
-    platform.tally.ends.cut <= affected * 0.7,
-    `${platform.tally.ends.cut}`,
+    platform.callResults.outcomes.cut <= affected * 0.7,
+    `${platform.callResults.outcomes.cut}`,
   );
-  assert.deepEqual(platform.broken, []);
+  assert.deepEqual(platform.violations, []);
 });
--- a/src/entry/start.spec.ts
+++ b/src/entry/start.spec.ts
@@ -38,8 +38,8 @@
     },
     await XxhashHasher.create(),
   );
-  platform.store.lagMs = LAG_MS;
-  platform.publish([PAY, DOCS]);
+  platform.store.staleReadLagMs = LAG_MS;
+  platform.publishRoutes([PAY, DOCS]);
   [...platform.daemons.keys()].forEach(name => platform.killDaemon(name));
   await platform.clock.advance(500);
   return platform;
@@ -78,7 +78,7 @@
       platform.store.calls - callsBefore <= 5,
       `${platform.store.calls - callsBefore} calls`,
     );
-    assert.equal(platform.store.oldReads, daemons);
+    assert.equal(platform.store.staleReads, daemons);
   }),
 );
 
@@ -86,19 +86,19 @@
   const platform = await createKilledFleet(1);
   await startAll(platform);
   await platform.clock.advance(25);
-  const known = platform.call(PAY, 1, 3_000);
-  platform.call(DOCS, 1, 3_000);
+  const known = platform.startCaller(PAY, 1, 3_000);
+  platform.startCaller(DOCS, 1, 3_000);
   await platform.clock.advance(200);
   assert.ok(known.server !== undefined);
-  assert.equal(platform.tally.ends.refused, 0);
+  assert.equal(platform.callResults.outcomes.refused, 0);
   // A retransmitted opening is accepted once the daemon has read the store.
   await platform.clock.advance(2_000);
-  assert.equal(platform.tally.ends.answered, 2);
+  assert.equal(platform.callResults.outcomes.answered, 2);
 });
 
 test('a stale catalog whose later events the store discarded is replaced', async () => {
   const platform = await createKilledFleet(2);
-  platform.store.forgetHistory();
+  platform.store.compactHistory();
   await startAll(platform);
   await platform.clock.advance(2_000);
   assert.deepEqual(versionsOf(platform), [2, 2]);
@@ -202,7 +202,7 @@
     },
     await XxhashHasher.create(),
   );
-  platform.publish(routes);
+  platform.publishRoutes(routes);
   await platform.clock.advance(bounds.configurationMs);
   assert.deepEqual([...new Set(versionsOf(platform))], [2]);
   [...platform.daemons.keys()].forEach(name => platform.killDaemon(name));
@@ -233,7 +233,7 @@
   await platform.clock.advance(3_000);
   assert.ok(platform.store.snapshot !== undefined);
   [...platform.daemons.keys()].forEach(name => platform.killDaemon(name));
-  platform.publish([...routes, DOCS]);
+  platform.publishRoutes([...routes, DOCS]);
   await platform.clock.advance(1_000);
   const tookMs = await timeStarts(platform, 0);
   assert.ok(tookMs[tookMs.length - 1] <= 50, tookMs.join(' '));
@@ -255,8 +255,8 @@
   const {catalog} = await startOne(platform);
   platform.killDaemon('d0');
   platform.store.writeSnapshot(encodeSnapshot(catalog, 0), 0);
-  platform.publish([PAY]);
-  platform.store.forgetHistory();
+  platform.publishRoutes([PAY]);
+  platform.store.compactHistory();
   await startAll(platform);
   await platform.clock.advance(2_000);
   assert.deepEqual(versionsOf(platform), [3, 3, 3]);
--- a/src/feedback/server-ratings.ts
+++ b/src/feedback/server-ratings.ts
@@ -24,14 +24,14 @@
 }
 
 /** Rates all servers equally; used by daemons without performance feedback. */
-export class EqualRatings extends ServerRatings {
+export class UniformRatings extends ServerRatings {
   private constructor() {
     super();
   }
 
   /** Creates the ratings. */
-  static create(): EqualRatings {
-    return new EqualRatings();
+  static create(): UniformRatings {
+    return new UniformRatings();
   }
 
   ratingOf(): ServerRating {
--- a/src/index.ts
+++ b/src/index.ts
@@ -26,7 +26,7 @@
 export {
   EventKind,
   Timeline,
-  type Stamp,
+  type HybridTimestamp,
   type TimelineRecord,
 } from './ports/timeline.js';
 
@@ -38,14 +38,11 @@
   type WeightedServer,
 } from './routing/lookup-table.js';
 export {
-  LeastLoadedPlacement as LightestPlacement,
+  LeastLoadedPlacement,
   Placement,
   type Candidate,
 } from './routing/placement.js';
-export {
-  Ownership,
-  type OwnerCandidate as Candidacy,
-} from './routing/ownership.js';
+export {Ownership, type OwnerCandidate} from './routing/ownership.js';
 export {Router, StateScope, type RouterOptions} from './routing/router.js';
 export {
   DecisionKind,
@@ -71,8 +68,8 @@
 } from './membership/member.js';
 export {
   FailureDetector,
-  type DetectorHooks,
-  type DetectorOptions,
+  type FailureDetectorHooks,
+  type FailureDetectorOptions,
 } from './membership/failure-detector.js';
 export {ChangeLog} from './membership/change-log.js';
 
@@ -81,11 +78,11 @@
 export {type KnownRoute} from './catalog/route-table.js';
 export {
   CatalogReader,
-  type CatalogReaderOptions as ReaderOptions,
+  type CatalogReaderOptions,
 } from './catalog/catalog-reader.js';
 export {
-  CatalogGossip as CatalogSpread,
-  type CatalogGossipOptions as SpreadOptions,
+  CatalogGossip,
+  type CatalogGossipOptions,
 } from './catalog/catalog-gossip.js';
 export type {
   CatalogEvents,
@@ -104,7 +101,7 @@
   type CookieDecision,
   type CookieRouterOptions,
 } from './routing/cookie-router.js';
-export {ServerLoadTracker as ServerWorkLedger} from './routing/server-load-tracker.js';
+export {ServerLoadTracker} from './routing/server-load-tracker.js';
 
 // Recovery
 export {
@@ -119,10 +116,7 @@
   type DispatcherOptions,
 } from './admission/dispatcher.js';
 export {RetryBudget} from './admission/retry-budget.js';
-export {
-  RequestQueue,
-  type QueuedRequest as Waiting,
-} from './admission/request-queue.js';
+export {RequestQueue, type QueuedRequest} from './admission/request-queue.js';
 export {OutcomeReason, statusOf, type Outcome} from './admission/outcome.js';
 export {KeyRanges, type RangeView} from './admission/key-ranges.js';
 export {LeasedKeyGuard} from './admission/leased-key-guard.js';
--- a/src/membership/failure-detector.ts
+++ b/src/membership/failure-detector.ts
@@ -33,7 +33,7 @@
 const ROUNDS_BETWEEN_DEAD_PROBES = 4;
 
 /** Callbacks of the failure detector into its owner. */
-export interface DetectorHooks {
+export interface FailureDetectorHooks {
   /** The peer's log has changes that are not staged here. */
   onUnstagedChanges(peer: Member, epoch: number): void;
   /** The peer's confirmed index may have advanced. */
@@ -49,12 +49,12 @@
   onLoad(load: LoadVector): void;
 }
 
-export interface DetectorOptions {
+export interface FailureDetectorOptions {
   readonly members: MemberList;
   readonly log: ChangeLog;
   readonly peers: Peers;
   readonly clock: Clock;
-  readonly hooks: DetectorHooks;
+  readonly hooks: FailureDetectorHooks;
 }
 
 /** Detects failed peers of one daemon. */
@@ -67,7 +67,7 @@
   private loadDeadline = 0;
   private timer: Timer | undefined;
 
-  private constructor(private readonly options: DetectorOptions) {
+  private constructor(private readonly options: FailureDetectorOptions) {
     const {members, clock, hooks} = options;
     this.contacts = PeerContacts.create(members.self.id, clock);
     this.updater = MembershipUpdater.create(members, {
@@ -80,7 +80,7 @@
   }
 
   /** Creates a stopped failure detector. */
-  static create(options: DetectorOptions): FailureDetector {
+  static create(options: FailureDetectorOptions): FailureDetector {
     return new FailureDetector(options);
   }
 
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -65,7 +65,7 @@
  * Identifies one run of a daemon; a restarted daemon has none of the state of
  * its previous run.
  */
-export function runOf(member: Member): string {
+export function runIdOf(member: Member): string {
   const run = Math.floor(member.incarnation / INCARNATIONS_PER_RUN);
   return `${member.id}/${run}`;
 }
--- a/src/membership/peer-view.ts
+++ b/src/membership/peer-view.ts
@@ -192,7 +192,7 @@
     }
     const remaining = [...peers];
     return Array.from({length: count}, () => {
-      const position = this.options.random.below(remaining.length);
+      const position = this.options.random.nextInt(remaining.length);
       const [taken] = remaining.splice(position, 1);
       return taken;
     });
--- a/src/ports/catalog-source.ts
+++ b/src/ports/catalog-source.ts
@@ -15,7 +15,7 @@
   /** The connection was refused or closed. */
   DISCONNECTED: 'disconnected',
   /** No response before the deadline. */
-  SILENT: 'silent',
+  TIMEOUT: 'silent',
   /** The source has discarded the requested events. */
   HISTORY_LOST: 'history-lost',
   /** The response could not be decoded. */
--- a/src/ports/cookie-fabric.ts
+++ b/src/ports/cookie-fabric.ts
@@ -24,7 +24,7 @@
   /** Acknowledgment number: the position up to which the caller has received data. */
   readonly acknowledged: number;
   /** Number of the attempt to open the flow, from 0; meaningless on other packets. */
-  readonly openCopy: number;
+  readonly openAttempt: number;
   /** Payload length in bytes. */
   readonly dataLength: number;
   /** The packet as it arrived. */
--- a/src/ports/server-contact.ts
+++ b/src/ports/server-prober.ts
@@ -2,20 +2,20 @@
 import type {CatalogServer} from '../catalog/records.js';
 
 /** The result of a probe. */
-export const ContactResult = {
+export const ProbeResult = {
   /** The host responded in any way, or the probe was inconclusive. */
   REACHED: 'reached',
   /** No response before the deadline. */
-  SILENT: 'silent',
+  TIMEOUT: 'silent',
 } as const;
 /** One of the values of `ProbeResult`. */
-export type ContactResult = (typeof ContactResult)[keyof typeof ContactResult];
+export type ProbeResult = (typeof ProbeResult)[keyof typeof ProbeResult];
 
 /** Probes servers' hosts without sending requests. */
-export abstract class ServerContact {
+export abstract class ServerProber {
   /** Probes a server's host until `deadline` (monotonic milliseconds). */
-  abstract reach(
+  abstract probe(
     server: Pick<CatalogServer, 'address' | 'port'>,
     deadline: number,
-  ): Promise<ContactResult>;
+  ): Promise<ProbeResult>;
 }
--- a/src/ports/timeline.ts
+++ b/src/ports/timeline.ts
@@ -25,7 +25,7 @@
 export type EventKind = (typeof EventKind)[keyof typeof EventKind];
 
 /** Timestamp of a hybrid logical clock: wall-clock milliseconds and a counter. */
-export interface Stamp {
+export interface HybridTimestamp {
   readonly physicalMs: number;
   readonly logical: number;
 }
@@ -33,7 +33,7 @@
 /** A recorded event. */
 export interface TimelineRecord {
   readonly process: string;
-  readonly stamp: Stamp;
+  readonly stamp: HybridTimestamp;
   readonly kind: EventKind;
   readonly detail: Readonly<Record<string, string | number | boolean>>;
 }
@@ -46,7 +46,7 @@
     detail: Readonly<Record<string, string | number | boolean>>,
   ): void;
   /** Advances the clock past a timestamp received from another process. */
-  abstract observe(stamp: Stamp): void;
+  abstract observe(stamp: HybridTimestamp): void;
   /** Returns the newest `limit` events, oldest first. */
   abstract recent(limit: number): readonly TimelineRecord[];
 }
--- a/src/reachability/reachability-poll.spec.ts
+++ b/src/reachability/reachability-poll.spec.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {ContactResult} from '../ports/server-contact.js';
+import {ProbeResult} from '../ports/server-prober.js';
 import {ReachabilityPoll} from './reachability-poll.js';
 
 const SELF = 1;
@@ -10,7 +10,7 @@
 const VOTES = fc.array(
   fc.record({
     daemon: fc.integer({min: 1, max: 5}),
-    result: fc.constantFrom(ContactResult.REACHED, ContactResult.SILENT),
+    result: fc.constantFrom(ProbeResult.REACHED, ProbeResult.TIMEOUT),
   }),
 );
 
@@ -28,7 +28,7 @@
       const isUnreachable =
         last.has(SELF) &&
         last.size >= 2 &&
-        [...last.values()].every(result => result === ContactResult.SILENT);
+        [...last.values()].every(result => result === ProbeResult.TIMEOUT);
       assert.equal(poll.isUnreachable, isUnreachable);
     }),
     {seed: 9},
@@ -37,11 +37,11 @@
 
 test('a poll settles when any daemon reaches the server, or when all have voted', async () => {
   const reached = ReachabilityPoll.create(SELF, HELPERS);
-  reached.recordVote(3, ContactResult.REACHED);
+  reached.recordVote(3, ProbeResult.REACHED);
   await reached.settled;
   const silent = ReachabilityPoll.create(SELF, HELPERS);
   [SELF, ...HELPERS].forEach(daemon =>
-    silent.recordVote(daemon, ContactResult.SILENT),
+    silent.recordVote(daemon, ProbeResult.TIMEOUT),
   );
   await silent.settled;
   assert.equal(silent.isUnreachable, true);
--- a/src/reachability/reachability-poll.ts
+++ b/src/reachability/reachability-poll.ts
@@ -2,11 +2,11 @@
  * A poll of several daemons on whether they can reach a backend server's host. The server
  * is unreachable if all votes say so, at least one of them from another daemon.
  */
-import {ContactResult} from '../ports/server-contact.js';
+import {ProbeResult} from '../ports/server-prober.js';
 
 /** The votes on one server. */
 export class ReachabilityPoll {
-  private readonly votes = new Map<number, ContactResult>();
+  private readonly votes = new Map<number, ProbeResult>();
   private settle: () => void = () => undefined;
   /** Resolves when the server was reached by any daemon, or all have voted. */
   readonly settled: Promise<void>;
@@ -26,7 +26,7 @@
   }
 
   /** Records a vote; those of daemons that aren't part of the poll are ignored. */
-  recordVote(daemon: number, result: ContactResult): void {
+  recordVote(daemon: number, result: ProbeResult): void {
     if (daemon !== this.self && !this.helpers.has(daemon)) {
       return;
     }
@@ -46,6 +46,6 @@
   }
 
   private get wasReached(): boolean {
-    return [...this.votes.values()].includes(ContactResult.REACHED);
+    return [...this.votes.values()].includes(ProbeResult.REACHED);
   }
 }
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -10,7 +10,7 @@
 import type {PeerDaemon} from '../membership/peer-daemon.js';
 import type {Clock} from '../ports/clock.js';
 import type {Log} from '../ports/log.js';
-import {ContactResult, type ServerContact} from '../ports/server-contact.js';
+import {ProbeResult, type ServerProber} from '../ports/server-prober.js';
 import {ReachabilityPoll} from './reachability-poll.js';
 import {
   UnreachableServers,
@@ -44,7 +44,7 @@
   readonly self: number;
   readonly failureDomain: string;
   readonly flowLifetimeMs: number;
-  readonly contact: ServerContact;
+  readonly prober: ServerProber;
   readonly peers: PeerView;
   readonly clock: Clock;
   readonly log: Log;
@@ -59,7 +59,7 @@
   /** Asks peers, by address, to probe a server. */
   requestProbes(daemons: readonly number[], server: string): void;
   /** Sends a probe's result to the daemon that asked for it. */
-  sendVote(daemon: number, server: string, result: ContactResult): void;
+  sendVote(daemon: number, server: string, result: ProbeResult): void;
   /** Gossips the findings at once. */
   announce(): void;
   /** Called when a server becomes unreachable. */
@@ -115,7 +115,7 @@
   }
 
   /** Probes a server for a peer and sends it the result, within the limits. */
-  async onAsk(requester: number, id: string): Promise<void> {
+  async onProbeRequest(requester: number, id: string): Promise<void> {
     const server = this.options.serverById(id);
     if (server === undefined || this.activeProbes >= MAX_PROBES) {
       return;
@@ -134,7 +134,7 @@
       return false;
     }
     const result = await this.probe(server);
-    if (result === ContactResult.SILENT) {
+    if (result === ProbeResult.TIMEOUT) {
       return this.isUnreachable(server.id);
     }
     if (!this.isStopped) {
@@ -144,7 +144,7 @@
   }
 
   /** Records the vote of a peer in the open poll on a server, if there is one. */
-  onVote(daemon: number, id: string, result: ContactResult): void {
+  onVote(daemon: number, id: string, result: ProbeResult): void {
     this.polls.get(id)?.recordVote(daemon, result);
   }
 
@@ -152,7 +152,7 @@
    * Merges a finding; true if it is new and should be gossiped. Findings on another
    * incarnation of the server than the one in the catalog are rejected.
    */
-  hear(finding: ReachabilityFinding): boolean {
+  mergeFinding(finding: ReachabilityFinding): boolean {
     const now = this.options.clock.now();
     const server = this.options.serverById(finding.server);
     if (server !== undefined && server.startTime !== finding.startTime) {
@@ -231,7 +231,7 @@
       return;
     }
     const result = await this.probe(server);
-    const reached = result === ContactResult.REACHED;
+    const reached = result === ProbeResult.REACHED;
     this.publishFinding(server, reached);
     if (!reached) {
       await this.reconfirm(server);
@@ -250,21 +250,21 @@
     log.warn(reached ? 'server-reached-again' : 'server-unreachable', {
       server: id,
     });
-    this.hear({server: id, reached, at: clock.now(), startTime});
+    this.mergeFinding({server: id, reached, at: clock.now(), startTime});
     this.options.announce();
   }
 
   /** Probes a server; an answer to a caller in the meantime counts as success. */
-  private async probe(server: CatalogServer): Promise<ContactResult> {
-    const {clock, contact} = this.options;
+  private async probe(server: CatalogServer): Promise<ProbeResult> {
+    const {clock, prober: contact} = this.options;
     const startedAt = clock.now();
     const deadline = startedAt + PROBE_TIMEOUT_MS;
     this.activeProbes += 1;
-    const result = await contact.reach(server, deadline);
+    const result = await contact.probe(server, deadline);
     this.activeProbes -= 1;
     const isLate = clock.now() > deadline + MAX_TIMER_DELAY_MS;
     const answers = this.options.lastAnsweredAt(server.id) >= startedAt;
-    return isLate || answers ? ContactResult.REACHED : result;
+    return isLate || answers ? ProbeResult.REACHED : result;
   }
 
   /**
--- a/src/recovery/entry-exchange.ts
+++ b/src/recovery/entry-exchange.ts
@@ -86,7 +86,7 @@
 
   /** Sends the entries of partitions to their new holder. */
   sendPartitions(transfer: PartitionTransfer): void {
-    const entries = this.options.router.exceptionsOf(
+    const entries = this.options.router.listExceptions(
       transfer.partitions,
       transfer.includeCached,
     );
--- a/src/recovery/flow-coordinator.spec.ts
+++ b/src/recovery/flow-coordinator.spec.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check';
 import {
   MemoryFleet,
-  packetOf,
+  createFlowPacket,
   type FleetDaemon,
 } from '../../standins/memory-fleet.js';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
@@ -188,7 +188,7 @@
         this.cut(step.from, step.to);
         break;
       case 'heal':
-        this.fleet.network.cut.clear();
+        this.fleet.network.blockedPaths.clear();
         break;
       case 'wait':
         await this.fleet.clock.advance(step.ms);
@@ -199,7 +199,7 @@
 
   /** Ends all faults; every open flow must then still be served. */
   async finish(): Promise<void> {
-    this.fleet.network.cut.clear();
+    this.fleet.network.blockedPaths.clear();
     this.fleet.daemons.forEach(({id}) => this.fleet.setFrozen(id, false));
     await this.fleet.clock.advance(10_000);
     this.sendData();
@@ -239,7 +239,7 @@
   private open(destination: typeof PAY): void {
     const number = this.nextFlow;
     this.nextFlow += 1;
-    const packet = packetOf(number, PacketKind.OPEN, destination);
+    const packet = createFlowPacket(number, PacketKind.OPEN, destination);
     this.flows.set(`${packet.sourceAddress}:${packet.sourcePort}`, {
       destination,
       server: undefined,
@@ -247,7 +247,7 @@
       closed: false,
       exempt: false,
     });
-    const copies = this.fleet.random.happens(0.2) ? 2 : 1;
+    const copies = this.fleet.random.nextBool(0.2) ? 2 : 1;
     Array.from({length: copies}).forEach(() => this.sendToAnyDaemon(packet));
   }
 
@@ -256,7 +256,7 @@
     [...this.flows.values()].forEach((flow, number) => {
       if (flow.server !== undefined && !flow.closed) {
         this.sendToAnyDaemon(
-          packetOf(number, PacketKind.DATA, flow.destination),
+          createFlowPacket(number, PacketKind.DATA, flow.destination),
         );
       }
     });
@@ -264,11 +264,11 @@
 
   private closeSome(share: number): void {
     [...this.flows.values()].forEach((flow, number) => {
-      const chosen = this.fleet.random.happens(share);
+      const chosen = this.fleet.random.nextBool(share);
       if (chosen && flow.server !== undefined && !flow.closed) {
         flow.closed = true;
         this.sendToAnyDaemon(
-          packetOf(number, PacketKind.CLOSE, flow.destination),
+          createFlowPacket(number, PacketKind.CLOSE, flow.destination),
         );
       }
     });
@@ -280,7 +280,7 @@
     );
     const daemon = this.fleet.random.pick(daemons);
     if (daemon !== undefined) {
-      this.fleet.hand(daemon, packet);
+      this.fleet.deliver(daemon, packet);
     }
   }
 
@@ -298,7 +298,7 @@
     const allReady = [...daemons.values()].every(
       ({frozen, coordinator}) => !frozen && coordinator.isReady,
     );
-    const cut = this.fleet.network.cut.size > 0;
+    const cut = this.fleet.network.blockedPaths.size > 0;
     if (
       ready.length < 4 ||
       !allReady ||
@@ -327,7 +327,7 @@
       this.drainedAt.delete(server);
     }
     const state = on ? MarkState.LEAVING : MarkState.LIVE;
-    this.fleet.mark(server, state, this.fleet.running);
+    this.fleet.markServer(server, state, this.fleet.running);
   }
 
   /**
@@ -340,7 +340,10 @@
     } else if (this.payServers.size > 2) {
       this.payServers.delete(server);
     }
-    this.fleet.edit(this.nextRevision(), this.fleet.ready.slice(0, readers));
+    this.fleet.publishRevision(
+      this.nextRevision(),
+      this.fleet.ready.slice(0, readers),
+    );
   }
 
   private cut(from: number, to: number): void {
@@ -348,11 +351,12 @@
     const a = all[from % all.length];
     const b = all[to % all.length];
     const hasOtherFault =
-      all.some(({frozen}) => frozen) || this.fleet.network.cut.size > 0;
+      all.some(({frozen}) => frozen) ||
+      this.fleet.network.blockedPaths.size > 0;
     const isAfterLoss =
       this.fleet.clock.now() - this.lastLossMs < MINIMUM_LOSS_INTERVAL_MS;
     if (a !== b && !hasOtherFault && !isAfterLoss) {
-      this.fleet.network.setCut(a.address, b.address, true);
+      this.fleet.network.setPathBlocked(a.address, b.address, true);
     }
   }
 
--- a/src/recovery/flow-coordinator.ts
+++ b/src/recovery/flow-coordinator.ts
@@ -56,7 +56,7 @@
   readonly peers: Peers;
   readonly backends: BackendServers;
   /** Parses the document of a revision; undefined when it is invalid. */
-  readonly read: RevisionParser;
+  readonly parseRevision: RevisionParser;
   readonly maximumEntries: number;
   readonly scope?: StateScope;
   readonly placement?: RouterOptions['placement'];
@@ -88,22 +88,26 @@
     this.router = Router.create({
       ...options,
       self: self.id,
-      run: `${self.id}/${self.incarnation}`,
+      runId: `${self.id}/${self.incarnation}`,
     });
     this.log = ChangeLog.create(
       hasher.hashText(`${self.id}/${self.incarnation}`, 0),
       hasher,
     );
-    this.replicatedState = ReplicatedState.create(this.log, options.read, {
-      onStaged: (revision, marks) => this.router.stage(revision, marks),
-      onActive: (revision, marks) => {
-        this.router.activate(revision, marks);
-        options.timeline.record(EventKind.REVISION_ACTIVE, {revision});
-        options.counters.set(Metric.REVISION_ACTIVE, revision);
+    this.replicatedState = ReplicatedState.create(
+      this.log,
+      options.parseRevision,
+      {
+        onStaged: (revision, marks) => this.router.stage(revision, marks),
+        onActive: (revision, marks) => {
+          this.router.activate(revision, marks);
+          options.timeline.record(EventKind.REVISION_ACTIVE, {revision});
+          options.counters.set(Metric.REVISION_ACTIVE, revision);
+        },
+        onMark: ({server, state, kind}) =>
+          options.timeline.record(EventKind.SERVER_MARK, {server, state, kind}),
       },
-      onMark: ({server, state, kind}) =>
-        options.timeline.record(EventKind.SERVER_MARK, {server, state, kind}),
-    });
+    );
     this.detector = FailureDetector.create({
       members: this.members,
       log: this.log,
@@ -145,7 +149,7 @@
       log: this.log,
       detector: this.detector,
       router: this.router,
-      applyChanges: changes => this.learn(changes),
+      applyChanges: changes => this.applyChanges(changes),
     });
     this.ownership = Ownership.create([], hasher);
     this.members.onChange((member, before) =>
@@ -179,7 +183,7 @@
       onExceptions: (sender, exceptions, target) =>
         this.entryExchange.receive(sender, exceptions, target),
       onPullState: (_sender, partitions) =>
-        inBatches(this.router.exceptionsOf(new Set(partitions))),
+        inBatches(this.router.listExceptions(new Set(partitions))),
       onPullChanges: (_sender, epoch, after) => this.log.since(epoch, after),
       onPullMembers: () => this.memberMessage(),
     };
@@ -222,7 +226,7 @@
   /**
    * Applies changes from the store or the platform and announces them to peers.
    */
-  learn(changes: readonly Omit<Change, 'index'>[]): void {
+  applyChanges(changes: readonly Omit<Change, 'index'>[]): void {
     if (this.replicatedState.apply(changes)) {
       this.options.timeline.record(EventKind.REVISION_STAGED, {
         revision: this.replicatedState.staged.revision,
@@ -248,14 +252,14 @@
     const {clock} = this.options;
     // New owners query this daemon for unknown flows during this time.
     await this.pause(Math.min(deadline, clock.now() + FORMER_HOLDER_QUERY_MS));
-    return this.settle(deadline);
+    return this.flushAndConfirm(deadline);
   }
 
   /**
    * Sends all changed entries; resolves to true when peers have confirmed every
    * entry, to false at the deadline.
    */
-  settle(deadline: number): Promise<boolean> {
+  flushAndConfirm(deadline: number): Promise<boolean> {
     this.entryExchange.flush();
     return this.replicator.waitUntilIdle(deadline);
   }
@@ -282,7 +286,7 @@
       this.detector.probeNow(member.id);
     }
     if (member.state >= MemberState.DEAD) {
-      this.router.formerHolders.forget(member.id);
+      this.router.formerHolders.removeMember(member.id);
     }
     const ownedBefore = before !== undefined && ownsPartitions(before);
     if (ownedBefore !== ownsPartitions(member)) {
@@ -303,7 +307,7 @@
       .forEach(partition => {
         const backup = this.ownership.backupOf(partition);
         if (backup !== undefined) {
-          this.router.formerHolders.use(partition, [backup], deadline);
+          this.router.formerHolders.add(partition, [backup], deadline);
         }
       });
   }
@@ -328,7 +332,7 @@
     );
     this.entryExchange.resendRecent(before);
     plan.takeovers.forEach(({partition, formerHolders}) =>
-      this.router.formerHolders.use(
+      this.router.formerHolders.add(
         partition,
         formerHolders,
         clock.now() + FORMER_HOLDER_QUERY_MS,
@@ -344,9 +348,9 @@
   private updateOwnership(): void {
     const owners = this.members.owners();
     this.ownership = Ownership.create(owners, this.options.hasher);
-    this.router.useView({
+    this.router.setView({
       ownership: this.ownership,
-      members: Math.max(1, owners.length),
+      memberCount: Math.max(1, owners.length),
       isCurrent: id => this.detector.isCurrent(id),
       isResponsive: id => this.detector.isResponsive(id),
       relays: owners
@@ -385,7 +389,7 @@
   private memberMessage(): MemberListMessage {
     return {
       members: this.members.all().map(member => ({...member})),
-      loads: this.router.flowCounts.vectors(),
+      loads: this.router.flowCounts.listVectors(),
     };
   }
 
--- a/src/recovery/mechanisms.spec.ts
+++ b/src/recovery/mechanisms.spec.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {PacketListener} from '../../standins/memory-backends.js';
-import {MemoryFleet, packetOf} from '../../standins/memory-fleet.js';
+import {MemoryFleet, createFlowPacket} from '../../standins/memory-fleet.js';
 import {XxhashHasher} from '../adapters/xxhash-hasher.js';
 import {PacketKind} from '../generated/packet.js';
 import {NewestTableRouter} from '../routing/newest-table-router.js';
@@ -83,7 +83,7 @@
   Array.from({length: FLOWS}).forEach((_, index) => {
     const daemon = fleet.random.pick(fleet.ready);
     if (daemon !== undefined) {
-      fleet.hand(daemon, packetOf(first + index, kind, destination));
+      fleet.deliver(daemon, createFlowPacket(first + index, kind, destination));
     }
   });
   await fleet.clock.advance(20);
@@ -92,7 +92,7 @@
 test('flows stay at a draining server; the newest-table router moves some', async () => {
   const fleet = await createFleet();
   await sendAll(fleet, PacketKind.OPEN);
-  fleet.mark(SERVERS[0], MarkState.LEAVING, fleet.running);
+  fleet.markServer(SERVERS[0], MarkState.LEAVING, fleet.running);
   await fleet.clock.advance(3_000);
   await sendAll(fleet, PacketKind.DATA);
   assert.equal(fleet.backends.resets, 0);
@@ -101,7 +101,7 @@
   const marks = ServerMarks.create();
   naive.stage(fleet.revision, marks);
   const serverOf = (flow: number) =>
-    naive.route(packetOf(flow, PacketKind.DATA, PAY));
+    naive.route(createFlowPacket(flow, PacketKind.DATA, PAY));
   const before = Array.from({length: FLOWS}, (_, flow) => serverOf(flow));
   marks.apply({
     server: SERVERS[0],
@@ -122,7 +122,7 @@
   const resets = await [false, true].reduce<Promise<number[]>>(
     async (earlier, pushesDropped) => {
       const fleet = await createFleet();
-      fleet.network.faults.swallowPushes = pushesDropped;
+      fleet.network.faults.discardPushes = pushesDropped;
       await sendAll(fleet, PacketKind.OPEN);
       await fleet.clock.advance(1_500);
       fleet.crash(fleet.ready[1].id);
@@ -145,7 +145,7 @@
   await sendAll(fleet, PacketKind.DATA);
   assert.equal(fleet.backends.resets, 0);
 
-  fleet.network.faults.swallowPushes = true;
+  fleet.network.faults.discardPushes = true;
   const last = fleet.ready[0];
   await sendAll(fleet, PacketKind.OPEN, FLOWS);
   await fleet.join('hall-0');
@@ -169,16 +169,16 @@
       if (!staged) {
         // The reader places flows by its own state alone.
         others.forEach(({address}) => {
-          fleet.network.setCut(address, reader.address, true);
-          fleet.network.setCut(reader.address, address, true);
+          fleet.network.setPathBlocked(address, reader.address, true);
+          fleet.network.setPathBlocked(reader.address, address, true);
         });
       }
-      fleet.edit(next, [reader]);
+      fleet.publishRevision(next, [reader]);
       const {router, replicatedState} = reader.coordinator;
       if (!staged) {
-        router.useView({
+        router.setView({
           ownership: reader.coordinator.currentOwnership,
-          members: 4,
+          memberCount: 4,
           isCurrent: () => true,
           isResponsive: id => id === reader.id,
           relays: [],
@@ -186,11 +186,11 @@
         router.activate(2, replicatedState.marks);
       }
       Array.from({length: FLOWS}).forEach((_, flow) =>
-        fleet.hand(reader, packetOf(flow, PacketKind.OPEN, PAY)),
+        fleet.deliver(reader, createFlowPacket(flow, PacketKind.OPEN, PAY)),
       );
       await fleet.clock.advance(10);
       Array.from({length: FLOWS}).forEach((_, flow) =>
-        fleet.hand(others[0], packetOf(flow, PacketKind.DATA, PAY)),
+        fleet.deliver(others[0], createFlowPacket(flow, PacketKind.DATA, PAY)),
       );
       await fleet.clock.advance(10);
       return [...(await earlier), fleet.backends.resets];
@@ -208,11 +208,13 @@
     {...generation(1, PAY.service, SERVERS), endedAtMs: fleet.clock.wall()},
     generation(2, OTHER.service, OTHER_SERVERS),
   ]);
-  fleet.edit(reused, fleet.ready.slice(0, 1));
+  fleet.publishRevision(reused, fleet.ready.slice(0, 1));
   await sendAll(fleet, PacketKind.DATA);
   await fleet.clock.advance(3_000);
   assert.ok(
-    fleet.ready.every(({coordinator}) => coordinator.router.active === 2),
+    fleet.ready.every(
+      ({coordinator}) => coordinator.router.activeRevision === 2,
+    ),
   );
   await sendAll(fleet, PacketKind.DATA);
   await sendAll(fleet, PacketKind.OPEN, FLOWS, OTHER);
@@ -243,7 +245,7 @@
     const send = (flow: number, kind: PacketKind) => {
       const daemon = fleet.random.pick(fleet.ready);
       if (daemon !== undefined) {
-        fleet.hand(daemon, packetOf(flow, kind, PAY));
+        fleet.deliver(daemon, createFlowPacket(flow, kind, PAY));
       }
     };
     batch.forEach(flow => send(flow, PacketKind.OPEN));
@@ -262,7 +264,7 @@
   others.forEach(({id}) => fleet.crash(id));
   await fleet.clock.advance(10_000);
   Array.from({length: FLOWS}).forEach((_, flow) =>
-    fleet.hand(first, packetOf(flow, PacketKind.OPEN, PAY)),
+    fleet.deliver(first, createFlowPacket(flow, PacketKind.OPEN, PAY)),
   );
   await fleet.clock.advance(10);
   const open = SERVERS.reduce(
--- a/src/recovery/packet-path.ts
+++ b/src/recovery/packet-path.ts
@@ -85,8 +85,8 @@
   ): void {
     this.options.counters.add(Metric.PACKETS_FORWARDED);
     this.options.backends.send(forward.server, packet.bytes);
-    if (forward.remember !== undefined) {
-      this.sendHint(forward.server, forward.remember, packet.packet, ingress);
+    if (forward.hintKey !== undefined) {
+      this.sendHint(forward.server, forward.hintKey, packet.packet, ingress);
     }
   }
 
--- a/src/routing/candidates.ts
+++ b/src/routing/candidates.ts
@@ -62,7 +62,7 @@
       server,
       weight: weight * slowStartShare(addedAtMs, routed.warmUpMs, wallMs),
       flows: flowCounts.estimate(id, memberCount),
-      ownFlows: flowCounts.localCount(id),
+      localFlows: flowCounts.localCount(id),
     }))
     .filter(({flows}) => flows < routed.connectionLimit);
 }
--- a/src/routing/cold-openings.spec.ts
+++ b/src/routing/cold-start-limiter.spec.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {ColdStartLimiter} from './cold-openings.js';
+import {ColdStartLimiter} from './cold-start-limiter.js';
 import {Random} from './random.js';
 
 const LIMITS = {excess: 1.5, slack: 5};
@@ -33,12 +33,12 @@
 }: Simulation): Openings {
   const random = Random.create(7);
   const fleet = Array.from({length: daemons}, (_daemon, index) =>
-    ColdStartLimiter.create(LIMITS, Random.createOwn(index, 0)),
+    ColdStartLimiter.create(LIMITS, Random.createForProcess(index, 0)),
   );
   const openings = new Map<string, number[]>();
   Array.from({length: DURATION_MS * openingsPerMs}, (_opening, index) => {
     const now = Math.floor(index / openingsPerMs);
-    const daemon = fleet[random.below(daemons)];
+    const daemon = fleet[random.nextInt(daemons)];
     const server = SERVERS.find(id => daemon.admits(id, RATE, assumed, now));
     if (server !== undefined) {
       daemon.recordOpening(server, RATE, assumed, now);
--- a/src/routing/cold-openings.ts
+++ b/src/routing/cold-start-limiter.ts
@@ -27,7 +27,7 @@
 const POISSON_TAIL_TERMS = 40;
 
 /** Limit on the requests of a cold server in one second, from its stated rate. */
-export interface ColdLimits {
+export interface ColdStartLimits {
   /** Multiple of the stated rate. */
   readonly excess: number;
   /** Requests in addition to that multiple. */
@@ -42,12 +42,12 @@
   private readonly fleetRates = new Map<number, number>();
 
   private constructor(
-    private readonly limits: ColdLimits,
+    private readonly limits: ColdStartLimits,
     private readonly random: Random,
   ) {}
 
   /** Creates a limiter without permits. */
-  static create(limits: ColdLimits, random: Random): ColdStartLimiter {
+  static create(limits: ColdStartLimits, random: Random): ColdStartLimiter {
     return new ColdStartLimiter(limits, random);
   }
 
--- a/src/routing/cookie-router.spec.ts
+++ b/src/routing/cookie-router.spec.ts
@@ -8,7 +8,7 @@
   CatalogServer,
   ServerState,
 } from '../catalog/records.js';
-import {EqualRatings} from '../feedback/server-ratings.js';
+import {UniformRatings} from '../feedback/server-ratings.js';
 import {FakeClock} from '../../standins/fake-clock.js';
 import {
   CookieRouter,
@@ -68,26 +68,26 @@
   const loadTracker = ServerLoadTracker.create(hasher);
   const unresponsive: string[] = [];
   const unreachable = new Set<string>();
-  catalog.takeServers({revision: 1, servers, evacuated: []}, clock.now());
-  catalog.takeRoutes(
+  catalog.applyServers({revision: 1, servers, evacuated: []}, clock.now());
+  catalog.applyRoutes(
     {version: 1, routes: [ROUTE, DOCS], coldServices: []},
     clock.now(),
   );
   const router = CookieRouter.create({
     catalog,
-    work: loadTracker,
+    loadTracker: loadTracker,
     placement: LeastLoadedPlacement.create(),
     clock,
     random: Random.create(3),
     inForceLimitMs: 3_000,
     counters: MemoryCounters.create(),
-    onSilent: ({id}) => unresponsive.push(id),
+    onUnresponsive: ({id}) => unresponsive.push(id),
     onUnanswered: () => undefined,
     isUnreachable: id => unreachable.has(id),
     regionOf: domain => REGIONS.get(domain),
     coldLimits: {excess: 1.5, slack: 5},
     countDaemons: () => 8,
-    ratings: EqualRatings.create(),
+    ratings: UniformRatings.create(),
     observer: undefined,
   });
   return {clock, catalog, loadTracker, router, unresponsive, unreachable};
@@ -99,7 +99,7 @@
   server: CatalogServer,
   {address, port}: CatalogRoute,
 ): number {
-  const route = catalog.routeOf(address, port);
+  const route = catalog.findRoute(address, port);
   assert.ok(route !== undefined);
   return catalog.cookieOf(server, route) ?? 0;
 }
@@ -115,17 +115,17 @@
 test('a retransmitted opening packet goes to another server, a late one to the server of its flow', () => {
   const {router} = createRouter([serverOf('i-1'), serverOf('i-2')]);
   const first = router.decide(createPacket({opens: true}));
-  const second = router.decide(createPacket({opens: true, openCopy: 1}));
+  const second = router.decide(createPacket({opens: true, openAttempt: 1}));
   assert.notEqual(serverIn(first), serverIn(second));
   router.decide(createPacket({cookie: cookieIn(first)}));
-  const late = router.decide(createPacket({opens: true, openCopy: 2}));
+  const late = router.decide(createPacket({opens: true, openAttempt: 2}));
   assert.equal(serverIn(late), serverIn(first));
 });
 
 test('a flow stays at the server of its first later packet when another cookie arrives', () => {
   const {router} = createRouter([serverOf('i-1'), serverOf('i-2')]);
   const first = router.decide(createPacket({opens: true}));
-  const second = router.decide(createPacket({opens: true, openCopy: 1}));
+  const second = router.decide(createPacket({opens: true, openAttempt: 1}));
   router.decide(createPacket({cookie: cookieIn(first)}));
   const later = router.decide(createPacket({cookie: cookieIn(second)}));
   assert.equal(serverIn(later), serverIn(first));
@@ -277,7 +277,7 @@
   ]);
   const opened = router.decide(createPacket({opens: true}));
   const moved = {...ROUTE, shares: [{service: 'docs', weight: 1}]};
-  catalog.takeRoutes(
+  catalog.applyRoutes(
     {version: 2, routes: [moved], coldServices: []},
     clock.now(),
   );
@@ -326,11 +326,11 @@
 
 test('an older route version is ignored', () => {
   const {catalog, clock} = createRouter([serverOf('i-1')]);
-  catalog.takeRoutes(
+  catalog.applyRoutes(
     {version: 5, routes: [ROUTE], coldServices: []},
     clock.now(),
   );
-  catalog.takeRoutes({version: 4, routes: [], coldServices: []}, clock.now());
+  catalog.applyRoutes({version: 4, routes: [], coldServices: []}, clock.now());
   assert.equal(catalog.stamp.routeVersion, 5);
   assert.equal(catalog.allRoutes().length, 1);
 });
@@ -345,7 +345,7 @@
       router.decide(createPacket({opens: true, sourcePort: 2_000 + index})),
     );
   const bindTo = (version: number, regions: readonly string[]) =>
-    catalog.takeRoutes(
+    catalog.applyRoutes(
       {version, routes: [{...ROUTE, regions}], coldServices: []},
       0,
     );
@@ -372,7 +372,7 @@
   const {catalog, router, clock} = createRouter([warm, cold]);
   const coldServices = [{service: 'pay', requestsPerSecond: 10}];
   let port = 2_000;
-  catalog.takeRoutes({version: 2, routes: [ROUTE], coldServices}, 0);
+  catalog.applyRoutes({version: 2, routes: [ROUTE], coldServices}, 0);
   const countAt = (id: string) =>
     Array.from({length: 200}, () => {
       port += 1;
@@ -395,7 +395,7 @@
     failureDomain: 'a',
     isEvacuated,
   }));
-  catalog.takeEvents({...change, revision: 2, domains}, 100);
+  catalog.applyEvents({...change, revision: 2, domains}, 100);
   assert.equal(catalog.isCold(restored, 900), true);
   assert.equal(catalog.isCold(warm, 900), false);
   assert.equal(catalog.isCold(restored, 1_200), false);
