--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -12,8 +12,8 @@
 import {RetainedPackets} from './retained-packets.js';
 import type {RequestObserver} from './request-outcome.js';
 import {RequestTracker} from './request-tracker.js';
-import {FlowTracker} from './seen-flows.js';
-import {ServerSelector, type ServerSelectorOptions} from './server-choice.js';
+import {FlowTracker} from './flow-tracker.js';
+import {ServerSelector, type ServerSelectorOptions} from './server-selector.js';
 import {UnknownCookieFlows} from './unknown-cookies.js';
 
 /**
@@ -72,7 +72,7 @@
   /** Notified of requests as they end; undefined disables request tracking. */
   readonly observer: RequestObserver | undefined;
   /** Whether packets are retained for resending to restarted servers; off by default. */
-  readonly keepsPackets?: boolean;
+  readonly retainsPackets?: boolean;
 }
 
 /** Routes the packets that one daemon receives. */
@@ -85,10 +85,10 @@
   private constructor(private readonly options: CookieRouterOptions) {
     const {
       counters,
-      work: loadTracker,
+      loadTracker,
       clock,
       observer,
-      keepsPackets,
+      retainsPackets: keepsPackets,
     } = options;
     this.serverSelector = ServerSelector.create(options);
     this.requestTracker = observer && RequestTracker.create(observer);
@@ -111,7 +111,7 @@
   /** Returns the routing decision for one packet and updates the flow records. */
   decide(packet: CookiePacket): CookieDecision {
     const {catalog} = this.options;
-    const route = catalog.routeOf(
+    const route = catalog.findRoute(
       packet.destinationAddress,
       packet.destinationPort,
     );
@@ -134,7 +134,7 @@
     route: KnownRoute,
   ): CookieDecision {
     const {catalog, clock} = this.options;
-    const cookieServer = catalog.serverOf(packet.cookie, route);
+    const cookieServer = catalog.findServerByCookie(packet.cookie, route);
     if (packet.cookie === NO_COOKIE || cookieServer === undefined) {
       return this.refuseUnknownCookie(packet, route);
     }
@@ -158,13 +158,13 @@
    * Marks the flows that await an answer from a lost server as ended, where the route
    * allows retries, and returns their callers so that they can be reset.
    */
-  takeCutOff(server: CatalogServer): CallerPosition[] {
+  takeRetryableCallers(server: CatalogServer): CallerPosition[] {
     const {catalog, clock} = this.options;
     return this.flows.takeWaitingCallers(
       server.id,
       clock.now(),
       ({destinationAddress, destinationPort}) =>
-        catalog.routeOf(destinationAddress, destinationPort)?.repeatable ===
+        catalog.findRoute(destinationAddress, destinationPort)?.repeatable ===
         true,
     );
   }
@@ -221,7 +221,7 @@
     const {catalog, clock} = this.options;
     const now = clock.now();
     const flow = this.flows.find(packet);
-    if (flow?.isOpen === true && packet.openCopy > 0) {
+    if (flow?.isOpen === true && packet.openAttempt > 0) {
       return this.forwardLateOpening(flow.server, route);
     }
     const triedServers =
@@ -257,7 +257,7 @@
         reason: RefusalReason.NOTHING_TO_RESET,
       };
     }
-    return this.isCurrent()
+    return this.isCatalogCurrent()
       ? {verdict: CookieVerdict.RESET, reason}
       : {verdict: CookieVerdict.DROP, reason};
   }
@@ -266,7 +266,7 @@
    * Whether the catalog was confirmed recently enough that no unknown version can be in
    * force. An older catalog may lack a route, so callers are not reset because of it.
    */
-  isCurrent(): boolean {
+  isCatalogCurrent(): boolean {
     const {catalog, clock, inForceLimitMs} = this.options;
     const oldest = clock.now() - (inForceLimitMs - REFUSAL_MARGIN_MS);
     const {routesConfirmedAt, serversConfirmedAt} = catalog.stamp;
--- a/src/routing/decision.ts
+++ b/src/routing/decision.ts
@@ -27,7 +27,7 @@
   /** Id of the server. */
   readonly server: string;
   /** Key for the hint to the daemon where the packet entered; undefined for none. */
-  readonly remember?: FlowKey;
+  readonly hintKey?: FlowKey;
 }
 
 /** Passes the packet to another daemon. */
--- a/src/routing/flow-key.ts
+++ b/src/routing/flow-key.ts
@@ -24,19 +24,19 @@
 >;
 
 /** Computes flow keys; reuses one buffer for all of them. */
-export class FlowKeys {
+export class FlowKeyHasher {
   private readonly bytes = new Uint8Array(ADDRESS_BYTES);
   private readonly view = new DataView(this.bytes.buffer);
 
   private constructor(private readonly hasher: Hasher) {}
 
   /** Creates a computation that uses a hash function. */
-  static create(hasher: Hasher): FlowKeys {
-    return new FlowKeys(hasher);
+  static create(hasher: Hasher): FlowKeyHasher {
+    return new FlowKeyHasher(hasher);
   }
 
   /** Returns the key of the flow that a packet belongs to. */
-  of(flow: FlowAddresses): FlowKey {
+  compute(flow: FlowAddresses): FlowKey {
     this.view.setUint32(0, flow.sourceAddress);
     this.view.setUint16(4, flow.sourcePort);
     this.view.setUint32(6, flow.destinationAddress);
--- a/src/routing/seen-flows.spec.ts
+++ b/src/routing/flow-tracker.spec.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {MemoryCounters} from '../adapters/memory-counters.js';
-import {ScriptXxhashHasher} from '../adapters/script-xxhash-hasher.js';
+import {JsXxhashHasher} from '../adapters/js-xxhash-hasher.js';
 import type {KnownRoute} from '../catalog/route-table.js';
 import {createRoute, createServer} from '../../standins/catalog-records.js';
 import {createPacket} from '../../standins/cookie-packets.js';
 import {RetainedPackets} from './retained-packets.js';
-import {FlowTracker} from './seen-flows.js';
+import {FlowTracker} from './flow-tracker.js';
 import {ServerLoadTracker} from './server-load-tracker.js';
 
 const SERVER = createServer('i-1', 'pay');
@@ -16,7 +16,7 @@
 };
 
 function createFlows() {
-  const loadTracker = ServerLoadTracker.create(ScriptXxhashHasher.create());
+  const loadTracker = ServerLoadTracker.create(JsXxhashHasher.create());
   const flows = FlowTracker.create({
     counters: MemoryCounters.create(),
     loadTracker,
@@ -42,17 +42,17 @@
   record(3, 10, {closes: true});
   record(4, 10, {dataLength: 900});
   record(4, 20, {acknowledged: 700});
-  const ports = flows.idleAt('i-1').map(({caller}) => caller.sourcePort);
+  const ports = flows.listIdle('i-1').map(({caller}) => caller.sourcePort);
   assert.deepEqual(ports, [1, 4]);
 });
 
 test('an idle flow is ended once, and not after its caller has sent a new request', () => {
   const {flows, record} = createFlows();
   [1, 2].forEach(port => record(port, 0));
-  const [first, second] = flows.idleAt('i-1');
+  const [first, second] = flows.listIdle('i-1');
   record(2, 10, {dataLength: 900});
   assert.deepEqual(
-    [first, first, second].map(flow => flows.endIdle(flow)),
+    [first, first, second].map(flow => flows.endIfIdle(flow)),
     [true, false, false],
   );
 });
@@ -60,15 +60,15 @@
 test('ending a flow does not end a later one with the same addresses and ports', () => {
   const {flows, record} = createFlows();
   record(1, 0);
-  const [former] = flows.idleAt('i-1');
+  const [former] = flows.listIdle('i-1');
   const otherServer = createServer('i-2', 'pay');
   flows.recordOpening(
     createPacket({sourcePort: 1, opens: true}),
     otherServer,
     50,
   );
-  assert.equal(flows.endIdle(former), false);
-  assert.equal(former.kept, undefined);
+  assert.equal(flows.endIfIdle(former), false);
+  assert.equal(former.retainedPacket, undefined);
 });
 
 test('flows of a restarted server lose their pending requests and move to its new record', () => {
@@ -77,7 +77,7 @@
   record(2, 10, {dataLength: 900});
   assert.equal(loadTracker.countLocalInFlight('i-1'), 1);
   const restarted = createServer('i-1', 'pay', {address: 7, startTime: 70});
-  const rebound = flows.renew(restarted);
+  const rebound = flows.rebindFlows(restarted);
   const ports = rebound.map(({caller}) => caller.sourcePort);
   assert.deepEqual(ports, [2, 1]);
   assert.ok(rebound.every(({server}) => server === restarted));
--- a/src/routing/seen-flows.ts
+++ b/src/routing/flow-tracker.ts
@@ -34,7 +34,7 @@
 const HALF_SEQUENCE_SPACE = 2 ** 31;
 
 /** The record of one flow; times are monotonic milliseconds. */
-export interface SeenFlow {
+export interface TrackedFlow {
   /** Where its packets go; until it is open, where the last opening packet went. */
   server: CatalogServer;
   /** Servers that its opening packets went to; empty if this daemon saw none. */
@@ -56,9 +56,9 @@
   /** Addresses and acknowledgement number of the newest packet. */
   caller: CallerPosition;
   /** When the newest packet arrived. */
-  seenAt: number;
+  lastPacketAt: number;
   /** The packet to resend if the server restarts; undefined: none is retained. */
-  kept: CookiePacket | undefined;
+  retainedPacket: CookiePacket | undefined;
   /** When the record expires. */
   expiresAt: number;
 }
@@ -78,7 +78,7 @@
 
 /** The flows that recently passed one daemon. */
 export class FlowTracker {
-  private readonly flows = new Map<string, SeenFlow>();
+  private readonly flows = new Map<string, TrackedFlow>();
   private nextSweepAt = -Infinity;
 
   private constructor(private readonly options: FlowTrackerOptions) {}
@@ -94,7 +94,7 @@
   }
 
   /** Returns the record of a packet's flow; undefined if it is not tracked. */
-  find(packet: CookiePacket): SeenFlow | undefined {
+  find(packet: CookiePacket): TrackedFlow | undefined {
     return this.flows.get(keyOf(packet));
   }
 
@@ -110,7 +110,7 @@
     const waiting = this.listFlows(server).filter(
       flow =>
         flow.hasPendingRequest &&
-        now - flow.seenAt <= MAX_RETRANSMIT_INTERVAL_MS &&
+        now - flow.lastPacketAt <= MAX_RETRANSMIT_INTERVAL_MS &&
         isWanted(flow.caller),
     );
     waiting.forEach(flow => {
@@ -127,7 +127,7 @@
    * Points the flows of a restarted server to its new record, discards their pending
    * requests, and returns them, those that had a pending request first.
    */
-  renew(server: CatalogServer): SeenFlow[] {
+  rebindFlows(server: CatalogServer): TrackedFlow[] {
     const all = this.listFlows(server.id);
     const waiting = all.filter(({hasPendingRequest}) => hasPendingRequest);
     const flows = [
@@ -147,18 +147,18 @@
   }
 
   /** Returns the open flows of a server that have no pending request. */
-  idleAt(server: string): SeenFlow[] {
+  listIdle(server: string): TrackedFlow[] {
     return this.listFlows(server).filter(isIdle);
   }
 
   /** Marks an idle flow as ended; returns false if it was not idle. */
-  endIdle(flow: SeenFlow): boolean {
+  endIfIdle(flow: TrackedFlow): boolean {
     const wasIdle = isIdle(flow);
     flow.hasEnded ||= wasIdle;
     return wasIdle;
   }
 
-  private listFlows(server: string): SeenFlow[] {
+  private listFlows(server: string): TrackedFlow[] {
     return [...this.flows.values()].filter(flow => flow.server.id === server);
   }
 
@@ -212,7 +212,7 @@
     }
     flow.expiresAt = now + IDLE_TIMEOUT_MS;
     flow.caller = positionOf(packet);
-    flow.seenAt = now;
+    flow.lastPacketAt = now;
     if (tracked !== undefined) {
       this.retainPacket(flow, packet);
     }
@@ -237,8 +237,8 @@
     packet: CookiePacket,
     server: CatalogServer,
     now: number,
-  ): SeenFlow {
-    const flow: SeenFlow = {
+  ): TrackedFlow {
+    const flow: TrackedFlow = {
       ...createFlow(packet, server, now, now + IDLE_TIMEOUT_MS),
       isOpen: true,
       acknowledgedAtRequest: packet.acknowledged,
@@ -250,8 +250,11 @@
   }
 
   /** Retains a packet of a tracked flow if it is to replace the one retained so far. */
-  private retainPacket(flow: SeenFlow, packet: CookiePacket): void {
-    flow.kept = this.options.retainedPackets?.select(flow.kept, packet);
+  private retainPacket(flow: TrackedFlow, packet: CookiePacket): void {
+    flow.retainedPacket = this.options.retainedPackets?.select(
+      flow.retainedPacket,
+      packet,
+    );
   }
 
   /**
@@ -259,7 +262,7 @@
    * acknowledges new data of the server.
    */
   private updateRequest(
-    flow: SeenFlow,
+    flow: TrackedFlow,
     packet: CookiePacket,
     now: number,
   ): void {
@@ -285,7 +288,7 @@
   }
 
   /** Reports a server when a caller sends the same data again. */
-  private detectRetransmission(flow: SeenFlow, packet: CookiePacket): void {
+  private detectRetransmission(flow: TrackedFlow, packet: CookiePacket): void {
     if (packet.dataLength === 0) {
       return;
     }
@@ -296,7 +299,7 @@
     }
   }
 
-  private clearPendingRequest(flow: SeenFlow): void {
+  private clearPendingRequest(flow: TrackedFlow): void {
     if (flow.hasPendingRequest) {
       flow.hasPendingRequest = false;
       this.options.loadTracker.adjustInFlight(flow.server.id, -1);
@@ -307,7 +310,7 @@
    * Ends a flow that its caller closed or reset. The record is kept for a while if this
    * daemon saw the opening, since the caller may still send packets.
    */
-  private endFlow(packet: CookiePacket, flow: SeenFlow, now: number): void {
+  private endFlow(packet: CookiePacket, flow: TrackedFlow, now: number): void {
     this.clearPendingRequest(flow);
     flow.hasEnded = true;
     flow.expiresAt = now + OPENING_RETENTION_MS;
@@ -316,9 +319,9 @@
     }
   }
 
-  private remove(key: string, flow: SeenFlow): void {
-    this.options.retainedPackets?.release(flow.kept);
-    flow.kept = undefined;
+  private remove(key: string, flow: TrackedFlow): void {
+    this.options.retainedPackets?.release(flow.retainedPacket);
+    flow.retainedPacket = undefined;
     flow.hasEnded = true;
     this.flows.delete(key);
   }
@@ -327,7 +330,7 @@
    * Adds a flow in place of any earlier one with the same addresses and ports; returns
    * false if there is no room.
    */
-  private add(packet: CookiePacket, flow: SeenFlow): boolean {
+  private add(packet: CookiePacket, flow: TrackedFlow): boolean {
     const previous = this.find(packet);
     if (previous !== undefined) {
       this.clearPendingRequest(previous);
@@ -360,7 +363,7 @@
   server: CatalogServer,
   now: number,
   expiresAt: number,
-): SeenFlow {
+): TrackedFlow {
   return {
     server,
     triedServers: [],
@@ -372,8 +375,8 @@
     acknowledgedAtRequest: 0,
     lastDataSequence: NO_SEQUENCE,
     caller: positionOf(packet),
-    seenAt: now,
-    kept: undefined,
+    lastPacketAt: now,
+    retainedPacket: undefined,
     expiresAt,
   };
 }
@@ -383,7 +386,7 @@
   isOpen,
   hasPendingRequest: isBusy,
   hasEnded,
-}: SeenFlow): boolean {
+}: TrackedFlow): boolean {
   return isOpen && !isBusy && !hasEnded;
 }
 
--- a/src/routing/former-holders.ts
+++ b/src/routing/former-holders.ts
@@ -27,7 +27,7 @@
   }
 
   /** Adds former holders of a partition until `deadline`, in monotonic milliseconds. */
-  use(partition: number, members: readonly string[], deadline: number): void {
+  add(partition: number, members: readonly string[], deadline: number): void {
     const known = this.holders.get(partition) ?? [];
     const others = known.filter(({member}) => !members.includes(member));
     const latest = members.map(member => ({member, deadline}));
@@ -38,7 +38,7 @@
   }
 
   /** Removes a member that left from all partitions. */
-  forget(removed: string): void {
+  removeMember(removed: string): void {
     this.holders.forEach((known, partition) =>
       this.holders.set(
         partition,
--- a/src/routing/newest-table-router.ts
+++ b/src/routing/newest-table-router.ts
@@ -5,7 +5,7 @@
 import type {PacketHeader} from '../generated/packet.js';
 import type {Hasher} from '../ports/hasher.js';
 import {DecisionKind, DropReason, type Decision} from './decision.js';
-import {FlowKeys, destinationKey} from './flow-key.js';
+import {FlowKeyHasher, destinationKey} from './flow-key.js';
 import {
   createMaglevTable,
   entryCountFor,
@@ -27,10 +27,10 @@
 /** Routes each packet by the newest table alone. */
 export class NewestTableRouter {
   private tables = new Map<number, NewestTable>();
-  private readonly keys: FlowKeys;
+  private readonly keys: FlowKeyHasher;
 
   private constructor(private readonly hasher: Hasher) {
-    this.keys = FlowKeys.create(hasher);
+    this.keys = FlowKeyHasher.create(hasher);
   }
 
   /** Creates a router without addresses. */
@@ -61,7 +61,7 @@
     if (table === undefined) {
       return {kind: DecisionKind.DROP, reason: DropReason.UNKNOWN_ADDRESS};
     }
-    const {high} = this.keys.of(packet);
+    const {high} = this.keys.compute(packet);
     const server = table.servers[table.lookup[high % table.lookup.length]];
     return server === undefined
       ? {kind: DecisionKind.DROP, reason: DropReason.NO_SERVER}
--- a/src/routing/open-flow-counts.ts
+++ b/src/routing/open-flow-counts.ts
@@ -71,7 +71,7 @@
   }
 
   /** Returns all known vectors, for a daemon that joins. */
-  vectors(): LoadVector[] {
+  listVectors(): LoadVector[] {
     return [
       this.vector(),
       ...[...this.others].map(([member, published]) => ({
--- a/src/routing/placement.ts
+++ b/src/routing/placement.ts
@@ -9,7 +9,7 @@
   /** Estimated open flows, over all daemons. */
   readonly flows: number;
   /** Open flows by this daemon's counts alone. */
-  readonly ownFlows: number;
+  readonly localFlows: number;
 }
 
 /** Flows by which the preferred server may exceed the least loaded one. */
@@ -84,7 +84,7 @@
 
 /** Returns this daemon's flows per unit of weight with one more flow placed. */
 function localLoadAfter(candidate: Candidate): number {
-  return (candidate.ownFlows + 1) / candidate.weight;
+  return (candidate.localFlows + 1) / candidate.weight;
 }
 
 /** Returns the flows per unit of weight with one more flow placed. */
--- a/src/routing/random.spec.ts
+++ b/src/routing/random.spec.ts
@@ -9,7 +9,7 @@
 
 test('first draws of processes on adjacent addresses that start together spread evenly', () => {
   const streams = Array.from({length: DAEMONS}, (_daemon, index) =>
-    Random.createOwn(FIRST_ADDRESS + index, START_MS + (index % 3)),
+    Random.createForProcess(FIRST_ADDRESS + index, START_MS + (index % 3)),
   );
   [1, 2, 3].forEach(draw => {
     const bins = new Array<number>(BINS).fill(0);
--- a/src/routing/random.ts
+++ b/src/routing/random.ts
@@ -26,7 +26,7 @@
    * Creates the stream of one process, seeded by its IPv4 address and start time. Streams
    * differ between processes that start at the same time on adjacent addresses.
    */
-  static createOwn(address: number, wallMs: number): Random {
+  static createForProcess(address: number, wallMs: number): Random {
     const random = new Random((address ^ wallMs) >>> 0);
     Array.from({length: WARM_UP_DRAWS}, () => random.next());
     return random;
@@ -38,18 +38,18 @@
   }
 
   /** Returns an integer in [0, `bound`). */
-  below(bound: number): number {
+  nextInt(bound: number): number {
     return Math.floor(this.next() * bound);
   }
 
   /** Returns true with the given probability. */
-  happens(probability: number): boolean {
+  nextBool(probability: number): boolean {
     return probability > 0 && this.next() < probability;
   }
 
   /** Returns one of the items with equal probability; undefined if there are none. */
   pick<T>(items: readonly T[]): T | undefined {
-    return items[this.below(items.length)];
+    return items[this.nextInt(items.length)];
   }
 
   /** Returns an exponentially distributed number with the given mean. */
--- a/src/routing/router.ts
+++ b/src/routing/router.ts
@@ -16,7 +16,7 @@
   type Decision,
   type Forward,
 } from './decision.js';
-import {FlowKeys, partitionOf, type FlowKey} from './flow-key.js';
+import {FlowKeyHasher, partitionOf, type FlowKey} from './flow-key.js';
 import {EntryKind, FlowTable} from './flow-table.js';
 import {NO_SERVER, TableBuilder, lookUpServer} from './generation-table.js';
 import {OpenFlowCounts} from './open-flow-counts.js';
@@ -55,7 +55,7 @@
 export interface RouterView {
   readonly ownership: Ownership;
   /** Number of members that open flows. */
-  readonly members: number;
+  readonly memberCount: number;
   /**
    * Whether the member is responsive and this daemon has staged every change
    * of revisions and marks that the member knows.
@@ -74,7 +74,7 @@
 export interface RouterOptions {
   readonly self: string;
   /** Differs between restarts of the daemon. */
-  readonly run: string;
+  readonly runId: string;
   readonly hasher: Hasher;
   readonly clock: Clock;
   readonly counters: Counters;
@@ -95,7 +95,7 @@
   readonly flows: FlowTable;
   readonly flowCounts: OpenFlowCounts;
   readonly directory = ServerDirectory.create();
-  private readonly keys: FlowKeys;
+  private readonly keys: FlowKeyHasher;
   private readonly tables: RevisionTables;
   private readonly placement: Placement;
   /** Members that held this daemon's partitions before it took them over. */
@@ -105,16 +105,16 @@
 
   private constructor(private readonly options: RouterOptions) {
     this.flows = FlowTable.create(options.maximumEntries);
-    this.flowCounts = OpenFlowCounts.create(options.run, options.hasher);
+    this.flowCounts = OpenFlowCounts.create(options.runId, options.hasher);
     this.formerHolders = FormerHolders.create(options.clock);
-    this.keys = FlowKeys.create(options.hasher);
+    this.keys = FlowKeyHasher.create(options.hasher);
     const builder = TableBuilder.create(options.hasher, this.directory);
     this.tables = RevisionTables.create(builder, options.clock);
     this.placement = options.placement ?? LeastLoadedPlacement.create();
     const soleMember = [{id: options.self, failureDomain: ''}];
     this.view = {
       ownership: Ownership.create(soleMember, options.hasher),
-      members: 1,
+      memberCount: 1,
       isCurrent: () => true,
       isResponsive: () => true,
       relays: [],
@@ -132,7 +132,7 @@
   }
 
   /** Configuration revision that new flows are placed by. */
-  get active(): number {
+  get activeRevision(): number {
     return this.tables.activeRevision;
   }
 
@@ -160,7 +160,7 @@
   }
 
   /** Replaces the membership view. */
-  useView(view: RouterView): void {
+  setView(view: RouterView): void {
     this.view = view;
   }
 
@@ -173,7 +173,7 @@
     if (table === undefined) {
       return {kind: DecisionKind.DROP, reason: DropReason.UNKNOWN_ADDRESS};
     }
-    const key = this.keys.of(packet);
+    const key = this.keys.compute(packet);
     const owner =
       this.view.ownership.ownerOf(partitionOf(key)) ?? this.options.self;
     if (!this.isTracked(table, key) && this.view.isCurrent(owner)) {
@@ -226,7 +226,7 @@
   }
 
   /** Returns the held entries of the partitions; with `cached`, cached ones too. */
-  exceptionsOf(
+  listExceptions(
     partitions: ReadonlySet<number>,
     cached = false,
   ): FlowException[] {
@@ -466,7 +466,7 @@
     }
     const candidates = selectCandidates(active.eligible, active.routed, {
       flowCounts: this.flowCounts,
-      memberCount: this.view.members,
+      memberCount: this.view.memberCount,
       wallMs: this.options.clock.wall(),
     });
     if (candidates.length === 0) {
@@ -568,7 +568,7 @@
     return {
       kind: DecisionKind.FORWARD,
       server: this.directory.idOf(server),
-      remember: arrival.hops > 0 ? key : undefined,
+      hintKey: arrival.hops > 0 ? key : undefined,
     };
   }
 
--- a/src/routing/server-load-tracker.spec.ts
+++ b/src/routing/server-load-tracker.spec.ts
@@ -15,7 +15,7 @@
   one.adjustInFlight('s', 1);
   two.adjustInFlight('s', 1);
   two.adjustInFlight('s', 1);
-  one.receive(2, two.selectLoadToGossip(0, false), 0);
+  one.applyPeerLoad(2, two.selectLoadToGossip(0, false), 0);
   assert.equal(one.countInFlight('s', 100), 3);
   assert.equal(one.countLocalInFlight('s'), 1);
   assert.equal(one.countInFlight('s', 2_000), 1);
@@ -46,7 +46,7 @@
     [true],
   );
   const peer = createTracker();
-  peer.receive(9, silent, 0);
+  peer.applyPeerLoad(9, silent, 0);
   assert.equal(peer.isUnresponsive('unresponsive', 10), true);
   assert.equal(peer.isUnresponsive('busy', 10), false);
 });
--- a/src/routing/server-load-tracker.ts
+++ b/src/routing/server-load-tracker.ts
@@ -137,7 +137,7 @@
   }
 
   /** Returns when a server last answered a packet of this daemon; -Infinity: never. */
-  answeredAt(server: string): number {
+  lastAnsweredAt(server: string): number {
     return this.observed.get(this.hashes.of(server))?.answeredAt ?? -Infinity;
   }
 
@@ -178,7 +178,7 @@
   }
 
   /** Replaces the load report of the peer with this address, and removes expired reports. */
-  receive(peer: number, work: readonly ServerWork[], now: number): void {
+  applyPeerLoad(peer: number, work: readonly ServerWork[], now: number): void {
     this.peerReports.set(peer, {
       loads: new Map(work.map(entry => [entry.server, entry])),
       validUntil: now + PEER_LOAD_LIFETIME_MS,
--- a/src/routing/server-choice.ts
+++ b/src/routing/server-selector.ts
@@ -7,7 +7,7 @@
 import type {CatalogServer} from '../catalog/records.js';
 import type {KnownRoute} from '../catalog/route-table.js';
 import type {ServerRatings} from '../feedback/server-ratings.js';
-import {ColdStartLimiter, type ColdLimits} from './cold-openings.js';
+import {ColdStartLimiter, type ColdStartLimits} from './cold-start-limiter.js';
 import type {Candidate, Placement} from './placement.js';
 import type {Random} from './random.js';
 import type {ServerLoadTracker} from './server-load-tracker.js';
@@ -21,13 +21,13 @@
 /** Dependencies and settings of a `ServerSelector`. */
 export interface ServerSelectorOptions {
   readonly catalog: Catalog;
-  readonly work: ServerLoadTracker;
+  readonly loadTracker: ServerLoadTracker;
   readonly placement: Placement;
   readonly random: Random;
   /** Performance ratings of the servers relative to others of their service. */
   readonly ratings: ServerRatings;
   /** Called when a server is found unresponsive; it gets no new flows until its backoff ends. */
-  onSilent(server: CatalogServer): void;
+  onUnresponsive(server: CatalogServer): void;
   /** Called for each packet that a server left unanswered. */
   onUnanswered(server: CatalogServer): void;
   /** Whether daemons in several failure domains found the server unreachable. */
@@ -35,7 +35,7 @@
   /** Returns the region of a failure domain; undefined if it is not known. */
   regionOf(failureDomain: string): string | undefined;
   /** Limit on the requests per second to a cold server, from its service's rate. */
-  readonly coldLimits: ColdLimits;
+  readonly coldLimits: ColdStartLimits;
   /** Returns how many daemons open flows; undefined while that is not known. */
   countDaemons(): number | undefined;
 }
@@ -80,7 +80,7 @@
     const candidates = usable.map((server, index) =>
       this.createCandidate(server, index, now),
     );
-    return usable[placement.choose(candidates, random.below(usable.length))];
+    return usable[placement.choose(candidates, random.nextInt(usable.length))];
   }
 
   /** Returns the servers in the regions of a route; all if it is bound to none. */
@@ -136,7 +136,7 @@
     if (servers.length <= MAX_CANDIDATES) {
       return servers;
     }
-    const start = this.options.random.below(servers.length);
+    const start = this.options.random.nextInt(servers.length);
     const tail = servers.slice(start, start + MAX_CANDIDATES);
     return [...tail, ...servers.slice(0, MAX_CANDIDATES - tail.length)];
   }
@@ -146,7 +146,7 @@
     servers: readonly CatalogServer[],
     now: number,
   ): void {
-    const {work: loadTracker} = this.options;
+    const {loadTracker} = this.options;
     servers
       .filter(({id}) => loadTracker.hasOverdueOpening(id, now))
       .forEach(server => this.recordUnanswered(server, now));
@@ -162,7 +162,7 @@
     triedServers: readonly CatalogServer[],
     now: number,
   ): readonly CatalogServer[] {
-    const {work: loadTracker} = this.options;
+    const {loadTracker} = this.options;
     const responsive = servers.filter(
       ({id}) =>
         !loadTracker.isUnresponsive(id, now) && !this.options.isUnreachable(id),
@@ -194,7 +194,7 @@
     index: number,
     now: number,
   ): Candidate {
-    const {work: loadTracker, placement, catalog, ratings} = this.options;
+    const {loadTracker, placement, catalog, ratings} = this.options;
     const rating = ratings.ratingOf(server.id, now);
     const capacityShare = catalog.isCold(server, now) ? COLD_CAPACITY_SHARE : 1;
     const ownFlows = loadTracker.countLocalInFlight(server.id);
@@ -202,7 +202,7 @@
       ? loadTracker.countInFlight(server.id, now)
       : ownFlows;
     const weight = server.slots * capacityShare * rating.weight;
-    return {server: index, weight, flows, ownFlows};
+    return {server: index, weight, flows, localFlows: ownFlows};
   }
 
   /** Selects one of the route's services at random by weight; empty if it has none. */
@@ -220,8 +220,8 @@
 
   /** Records a packet left unanswered and reports a server that became unresponsive. */
   recordUnanswered(server: CatalogServer, now: number): void {
-    if (this.options.work.recordUnanswered(server.id, now)) {
-      this.options.onSilent(server);
+    if (this.options.loadTracker.recordUnanswered(server.id, now)) {
+      this.options.onUnresponsive(server);
     }
     this.options.onUnanswered(server);
   }
--- a/standins/backend-server.ts
+++ b/standins/backend-server.ts
@@ -15,7 +15,7 @@
 } from '../src/generated/request.js';
 import {InstanceRole, InstanceState} from '../src/ports/instance-list.js';
 import {decodePayload, encodePayload} from './flow-payload.js';
-import {startStandinServer, applyKnobs} from './knobs.js';
+import {startStandinServer, applyKnobs} from './standin-control.js';
 import {Random} from '../src/routing/random.js';
 
 const COLD_SLOWDOWN_FACTOR = 3;
@@ -294,11 +294,11 @@
   }
 
   private answer(request: RunRequest, callback: sendUnaryData<RunReply>): void {
-    if (this.random.happens(this.knobs.lostAnswers)) {
+    if (this.random.nextBool(this.knobs.lostAnswers)) {
       return;
     }
     const whole = Buffer.from(createAnswer(request.key));
-    const truncated = this.random.happens(this.knobs.truncatedAnswers);
+    const truncated = this.random.nextBool(this.knobs.truncatedAnswers);
     const reply: RunReply = {
       started: true,
       refusal: '',
@@ -308,7 +308,7 @@
       bodyLength: whole.length,
       busySlots: this.busySlots,
     };
-    const late = this.random.happens(this.knobs.lateAnswers);
+    const late = this.random.nextBool(this.knobs.lateAnswers);
     setTimeout(() => callback(null, reply), late ? LATE_ANSWER_DELAY_MS : 0);
   }
 
--- a/standins/catalog-store.ts
+++ b/standins/catalog-store.ts
@@ -60,12 +60,12 @@
   /** Linearizable reads, writes and watches received, including rejected ones. */
   calls = 0;
   /** Stale reads received, including rejected ones. */
-  oldReads = 0;
+  staleReads = 0;
   /** Outages by the name of the affected daemon; '' affects all. */
   readonly outages = new Map<string, OutageKind>();
   /** Age of the state that stale reads return, in milliseconds. */
-  lagMs = 1_000;
-  answerMs = RESPONSE_LATENCY_MS;
+  staleReadLagMs = 1_000;
+  responseLatencyMs = RESPONSE_LATENCY_MS;
   /** Catalog snapshot that daemons write for daemons that start. */
   snapshot: CatalogSnapshot | undefined;
   private revision = 1;
@@ -112,7 +112,7 @@
   }
 
   /** Overwrites a server's entry with unreadable data. */
-  spoilServer(id: string): void {
+  corruptServer(id: string): void {
     this.retainState();
     this.revision += 1;
     const {revision} = this;
@@ -148,12 +148,12 @@
   }
 
   /** Evacuates a createFailure domain, which may have no servers. */
-  evacuate(failureDomain: string): void {
+  evacuateDomain(failureDomain: string): void {
     this.changeDomain({failureDomain, isEvacuated: true});
   }
 
   /** Ends the evacuation of a createFailure domain. */
-  restore(failureDomain: string): void {
+  restoreDomain(failureDomain: string): void {
     this.changeDomain({failureDomain, isEvacuated: false});
   }
 
@@ -163,14 +163,14 @@
   }
 
   /** Discards the history of events; watches of earlier revisions fail. */
-  forgetHistory(): void {
+  compactHistory(): void {
     this.compactedRevision = this.revision;
     this.events = [];
     this.notifyWaiters();
   }
 
   /** Returns the outage that affects a daemon now; undefined: none. */
-  outageOf(daemon: string): OutageKind | undefined {
+  findOutage(daemon: string): OutageKind | undefined {
     return this.outages.get(daemon) ?? this.outages.get('');
   }
 
@@ -187,7 +187,7 @@
 
   /** Returns the content as of `staleReadLagMs` ago. */
   readStale(): CatalogReading {
-    const at = this.clock.now() - this.lagMs;
+    const at = this.clock.now() - this.staleReadLagMs;
     return (
       this.pastStates.find(({until}) => until > at)?.reading ?? this.read()
     );
@@ -214,7 +214,7 @@
   }
 
   /** Runs a task at the next event; returns a function that cancels it. */
-  onNext(task: () => void): () => void {
+  onNextEvent(task: () => void): () => void {
     this.waiters.add(task);
     return () => this.waiters.delete(task);
   }
@@ -234,7 +234,7 @@
   private retainState(): void {
     const now = this.clock.now();
     this.pastStates = this.pastStates.filter(
-      ({until}) => until > now - this.lagMs,
+      ({until}) => until > now - this.staleReadLagMs,
     );
     this.pastStates.push({reading: this.read(), until: now});
   }
@@ -368,7 +368,7 @@
 
   private waitForNextEvent(deadline: number): Promise<void> {
     return new Promise(resolve => {
-      const cancel = this.store.onNext(() => resolve());
+      const cancel = this.store.onNextEvent(() => resolve());
       this.clock.callAt(deadline, () => {
         cancel();
         resolve();
@@ -383,7 +383,7 @@
     run: () => Promise<Result<T, SourceFailure>>,
   ): Promise<Result<T, SourceFailure>> {
     if (name === STALE_READ) {
-      this.store.oldReads += 1;
+      this.store.staleReads += 1;
     } else {
       this.store.calls += 1;
     }
@@ -392,9 +392,9 @@
       return failureAtStart;
     }
     const result = await run();
-    await this.sleepUntil(this.clock.now() + this.store.answerMs);
+    await this.sleepUntil(this.clock.now() + this.store.responseLatencyMs);
     if (this.clock.now() > deadline) {
-      return err(createFailure(SourceFailureKind.SILENT, name));
+      return err(createFailure(SourceFailureKind.TIMEOUT, name));
     }
     return (await this.applyOutage<T>(name, deadline)) ?? result;
   }
@@ -404,7 +404,7 @@
     name: string,
     deadline: number,
   ): Promise<Result<T, SourceFailure> | undefined> {
-    const outage = this.store.outageOf(this.daemon);
+    const outage = this.store.findOutage(this.daemon);
     if (this.isClosed || outage === OutageKind.REFUSED) {
       return err(createFailure(SourceFailureKind.DISCONNECTED, name));
     }
@@ -413,7 +413,7 @@
     }
     if (outage === OutageKind.SILENT) {
       await this.sleepUntil(deadline);
-      return err(createFailure(SourceFailureKind.SILENT, name));
+      return err(createFailure(SourceFailureKind.TIMEOUT, name));
     }
     return undefined;
   }
--- a/standins/cookie-caller-fleet.ts
+++ b/standins/cookie-caller-fleet.ts
@@ -2,7 +2,7 @@
 import type {CatalogRoute} from '../src/catalog/records.js';
 import type {Clock} from '../src/ports/clock.js';
 import type {CookiePacket} from '../src/ports/cookie-fabric.js';
-import {CookieCaller, type CallEnd} from './cookie-callers.js';
+import {CookieCaller, type CallOutcome} from './cookie-callers.js';
 
 /** The lowest port above the system ports. */
 const FIRST_PORT = 1_024;
@@ -15,11 +15,11 @@
   /** Lowest source address: IPv4, as a number. */
   readonly firstAddress: number;
   /** Number of source addresses, which are used in turn. */
-  readonly addresses: number;
+  readonly addressCount: number;
   /** Sends a packet of a caller to the fabric. */
   send(packet: CookiePacket): void;
   /** Called when a call ends; `startedAt` is in monotonic milliseconds. */
-  onEnd(end: CallEnd, startedAt: number): void;
+  onEnd(end: CallOutcome, startedAt: number): void;
 }
 
 /** The callers of one platform. */
@@ -45,7 +45,7 @@
     pauseMs = 0,
   ): CookieCaller {
     this.count += 1;
-    const {clock, firstAddress, addresses} = this.options;
+    const {clock, firstAddress, addressCount: addresses} = this.options;
     const startedAt = clock.now();
     const caller = CookieCaller.create({
       clock,
@@ -69,7 +69,7 @@
   }
 
   /** Returns the id of the server that accepted a flow; undefined: none has. */
-  serverOf(flow: string): string | undefined {
+  findServerId(flow: string): string | undefined {
     return this.callers.get(flow)?.server;
   }
 }
--- a/standins/cookie-callers.ts
+++ b/standins/cookie-callers.ts
@@ -15,7 +15,7 @@
 const REQUEST_BYTES = 100;
 
 /** How a call ended. */
-export const CallEnd = {
+export const CallOutcome = {
   ANSWERED: 'answered',
   /** The flow was reset by its server, or was never opened. */
   REFUSED: 'refused',
@@ -24,7 +24,7 @@
   TIMED_OUT: 'timed-out',
 } as const;
 /** One of the values of `CallOutcome`. */
-export type CallEnd = (typeof CallEnd)[keyof typeof CallEnd];
+export type CallOutcome = (typeof CallOutcome)[keyof typeof CallOutcome];
 
 /** Options of a caller. */
 export interface CallerOptions {
@@ -40,7 +40,7 @@
   /** Monotonic milliseconds at which the caller gives up. */
   readonly deadline: number;
   send(packet: CookiePacket): void;
-  onEnd(end: CallEnd, caller: CookieCaller): void;
+  onEnd(end: CallOutcome, caller: CookieCaller): void;
 }
 
 /** One caller with its flow. */
@@ -52,7 +52,7 @@
   /** Whether a request is unanswered, or was when the flow ended. */
   isWaiting = false;
   /** How the flow ended; undefined while it is open. */
-  ending: CallEnd | undefined;
+  ending: CallOutcome | undefined;
   /** Number of requests up to the last one that the server acknowledged. */
   private acknowledgedCount = 0;
   private cookie = 0;
@@ -88,10 +88,12 @@
   }
 
   /** Handles a reset sent by a daemon. */
-  receiveReset(): void {
+  handleDaemonReset(): void {
     if (!this.hasEnded) {
       this.finish(
-        this.server === undefined ? CallEnd.REFUSED : CallEnd.RESET_BY_DAEMON,
+        this.server === undefined
+          ? CallOutcome.REFUSED
+          : CallOutcome.RESET_BY_DAEMON,
       );
     }
   }
@@ -109,16 +111,18 @@
     );
     this.schedule(now + OPENING_TIMEOUT_MS, () => {
       if (this.server === undefined) {
-        this.finish(CallEnd.REFUSED);
+        this.finish(CallOutcome.REFUSED);
       }
     });
-    this.schedule(this.options.deadline, () => this.finish(CallEnd.TIMED_OUT));
+    this.schedule(this.options.deadline, () =>
+      this.finish(CallOutcome.TIMED_OUT),
+    );
   }
 
   /** Ignores resets of other servers than the one that accepted the flow. */
   private handleServerReset(server: string): void {
     if (this.server === undefined || this.server === server) {
-      this.finish(CallEnd.REFUSED);
+      this.finish(CallOutcome.REFUSED);
     }
   }
 
@@ -140,7 +144,7 @@
       return;
     }
     this.send({dataLength: 0, closes: true});
-    this.finish(CallEnd.ANSWERED);
+    this.finish(CallOutcome.ANSWERED);
   }
 
   private sendNextRequest(): void {
@@ -173,7 +177,7 @@
   }
 
   private sendOpening(openCopy: number): void {
-    this.send({opens: true, openCopy, dataLength: 0});
+    this.send({opens: true, openAttempt: openCopy, dataLength: 0});
   }
 
   private send(fields: Partial<CookiePacket>): void {
@@ -190,7 +194,7 @@
       cookie: fields.opens === true ? 0 : this.cookie,
       sequence: this.answers * REQUEST_BYTES,
       acknowledged: this.answers * REQUEST_BYTES + 1,
-      openCopy: 0,
+      openAttempt: 0,
       dataLength: 0,
       bytes: new Uint8Array(0),
       ...fields,
@@ -201,7 +205,7 @@
     this.timers.push(this.options.clock.callAt(deadline, task));
   }
 
-  private finish(end: CallEnd): void {
+  private finish(end: CallOutcome): void {
     if (!this.hasEnded) {
       this.hasEnded = true;
       this.ending = end;
--- a/standins/cookie-packets.ts
+++ b/standins/cookie-packets.ts
@@ -14,7 +14,7 @@
     cookie: 0,
     sequence: 0,
     acknowledged: 0,
-    openCopy: 0,
+    openAttempt: 0,
     dataLength: 0,
     bytes: new Uint8Array(0),
     ...fields,
--- a/standins/cookie-server-fleet.ts
+++ b/standins/cookie-server-fleet.ts
@@ -8,7 +8,7 @@
 import type {CatalogStore} from './catalog-store.js';
 import {flowName} from './cookie-callers.js';
 import {CookieServer, type ServerPacket} from './cookie-servers.js';
-import type {PromiseJudge} from './promise-judge.js';
+import type {InvariantChecker} from './invariant-checker.js';
 
 /** Store entry of a server to start. */
 export type NewServer = Omit<
@@ -29,12 +29,12 @@
 /** Options of a fleet of servers. */
 export interface CookieServerFleetOptions {
   readonly store: CatalogStore;
-  readonly judge: PromiseJudge;
+  readonly invariants: InvariantChecker;
   readonly clock: Clock;
   /** Sends a packet of a server to its caller. */
   send(packet: ServerPacket): void;
   /** Runs a task after some time. */
-  later(milliseconds: number, task: () => void): void;
+  runAfter(milliseconds: number, task: () => void): void;
 }
 
 /** The backend servers of one platform. */
@@ -54,7 +54,7 @@
   start(published: NewServer, plan: ServerWorkPlan): CookieServer {
     const {store, clock} = this.options;
     const entry = store.putServer({...published, state: ServerState.READY});
-    this.options.judge.recordServerStart(entry.id);
+    this.options.invariants.recordServerStart(entry.id);
     const server = CookieServer.create({
       entry,
       clock,
@@ -88,7 +88,7 @@
   }
 
   /** Lists servers of a service that are neither draining nor crashed. */
-  live(service: string): CookieServer[] {
+  listReady(service: string): CookieServer[] {
     return [...this.servers.values()].filter(
       ({entry, hasCrashed, state}) =>
         entry.service === service && !hasCrashed && state === ServerState.READY,
@@ -100,8 +100,8 @@
     const {store} = this.options;
     server.state = ServerState.DRAINING;
     store.putServer({...server.entry, state: ServerState.DRAINING});
-    this.options.judge.recordDrainStart(server.entry.id);
-    this.options.later(afterMs, () => {
+    this.options.invariants.recordDrainStart(server.entry.id);
+    this.options.runAfter(afterMs, () => {
       server.crash(false);
       this.removeEntry(server);
     });
@@ -110,13 +110,15 @@
   /** Makes a server unresponsive for a while; its flows and its entry stay. */
   pause(server: CookieServer, durationMs: number): void {
     server.setSilent(true);
-    this.options.later(durationMs, () => server.setSilent(server.hasCrashed));
+    this.options.runAfter(durationMs, () =>
+      server.setSilent(server.hasCrashed),
+    );
   }
 
   /** Crashes a server; its store entry expires `entryTtlMs` later. */
   crash(server: CookieServer, isSilent: boolean, entryTtlMs: number): void {
     server.crash(isSilent);
-    this.options.later(entryTtlMs, () => this.removeEntry(server));
+    this.options.runAfter(entryTtlMs, () => this.removeEntry(server));
   }
 
   /** Removes a server's entry, unless the server has restarted since. */
@@ -141,10 +143,10 @@
   ): void {
     const server = this.serversByAddress.get(address);
     if (server === undefined || server.entry.id !== targetId) {
-      this.options.judge.checkMisroutedPacket(packet, targetId);
+      this.options.invariants.checkMisroutedPacket(packet, targetId);
       return;
     }
-    this.options.judge.checkArrival(packet, server);
+    this.options.invariants.checkArrival(packet, server);
     server.receive(flowName(packet), packet, cookie);
   }
 }
--- a/standins/fabric.ts
+++ b/standins/fabric.ts
@@ -3,7 +3,7 @@
 import {GrpcInstanceList} from '../src/adapters/grpc-instance-list.js';
 import {SystemClock} from '../src/adapters/system-clock.js';
 import {bindUdp, sendUdp} from '../src/adapters/udp-socket.js';
-import {startStandinServer, applyKnobs} from './knobs.js';
+import {startStandinServer, applyKnobs} from './standin-control.js';
 import {Random} from '../src/routing/random.js';
 
 const LIST_POLL_INTERVAL_MS = 200;
@@ -71,15 +71,15 @@
 
   private forwardPacket(bytes: Buffer): void {
     this.counts.packets += 1;
-    if (this.random.happens(this.knobs.drop)) {
+    if (this.random.nextBool(this.knobs.drop)) {
       this.counts.dropped += 1;
       return;
     }
-    if (this.random.happens(this.knobs.duplicate)) {
+    if (this.random.nextBool(this.knobs.duplicate)) {
       this.deliver(bytes);
     }
-    if (this.random.happens(this.knobs.reorder)) {
-      const delay = this.random.below(MAXIMUM_REORDER_DELAY_MS);
+    if (this.random.nextBool(this.knobs.reorder)) {
+      const delay = this.random.nextInt(MAXIMUM_REORDER_DELAY_MS);
       setTimeout(() => this.deliver(bytes), delay);
     } else {
       this.deliver(bytes);
--- a/standins/fake-clock.ts
+++ b/standins/fake-clock.ts
@@ -56,18 +56,18 @@
   /** Advances the time; runs each timer that comes due, and its promise callbacks. */
   async advance(milliseconds: number): Promise<void> {
     const end = this.nowMs + milliseconds;
-    await this.settle();
+    await this.flushPromises();
     while (this.pending.length > 0 && this.pending[0].deadline <= end) {
       const next = this.pending.shift();
       this.nowMs = Math.max(this.nowMs, next?.deadline ?? end);
       next?.task();
-      await this.settle();
+      await this.flushPromises();
     }
     this.nowMs = end;
   }
 
   /** Runs pending promise callbacks. */
-  async settle(): Promise<void> {
+  async flushPromises(): Promise<void> {
     for (let round = 0; round < MICROTASK_ROUNDS; round += 1) {
       await Promise.resolve();
     }
--- a/standins/flow-callers.ts
+++ b/standins/flow-callers.ts
@@ -5,7 +5,7 @@
 import {Packet, PacketKind} from '../src/generated/packet.js';
 import {parseSocketAddress} from '../src/routing/ipv4.js';
 import {decodePayload, encodePayload} from './flow-payload.js';
-import {startStandinServer} from './knobs.js';
+import {startStandinServer} from './standin-control.js';
 import {Random} from '../src/routing/random.js';
 
 const TICK_MS = 20;
@@ -51,7 +51,7 @@
 }
 
 /** Command of the control service to open flows. */
-export interface OpenOrder {
+export interface OpenFlowsCommand {
   readonly service: string;
   /** "ip:port" of the service. */
   readonly address: string;
@@ -101,7 +101,7 @@
   private answered = 0;
   private resets = 0;
   private pendingCommands: {
-    command: OpenOrder;
+    command: OpenFlowsCommand;
     left: number;
     startMs: number;
   }[] = [];
@@ -132,7 +132,7 @@
   }
 
   private applySettings(settings: Record<string, unknown>): CallersReport {
-    const open = settings['open'] as OpenOrder | undefined;
+    const open = settings['open'] as OpenFlowsCommand | undefined;
     if (open !== undefined) {
       this.pendingCommands.push({
         command: open,
@@ -157,7 +157,7 @@
   }
 
   private openDueFlows(
-    pending: {command: OpenOrder; left: number; startMs: number},
+    pending: {command: OpenFlowsCommand; left: number; startMs: number},
     now: number,
   ): void {
     const {command, startMs} = pending;
@@ -170,7 +170,7 @@
     });
   }
 
-  private openFlow(command: OpenOrder, now: number): void {
+  private openFlow(command: OpenFlowsCommand, now: number): void {
     const destination = parseSocketAddress(command.address);
     const number = this.nextFlow;
     this.nextFlow += 1;
@@ -302,7 +302,7 @@
   private closeShare(service: string, share: number): void {
     [...this.flows.values()]
       .filter(flow => flow.service === service && flow.state === FlowState.OPEN)
-      .filter(() => this.random.happens(share))
+      .filter(() => this.random.nextBool(share))
       .forEach(flow => {
         flow.state = FlowState.CLOSING;
         flow.nextSendMs = 0;
--- a/standins/instance-list.ts
+++ b/standins/instance-list.ts
@@ -7,7 +7,7 @@
   type InstancesServer,
   type ListReply,
 } from '../src/generated/platform.js';
-import {startStandinServer, applyKnobs} from './knobs.js';
+import {startStandinServer, applyKnobs} from './standin-control.js';
 
 const HEALTH_CHECK_INTERVAL_MS = 500;
 const HEALTH_CHECK_TIMEOUT_MS = 300;
--- a/standins/promise-judge.ts
+++ b/standins/invariant-checker.ts
@@ -26,7 +26,7 @@
 }
 
 /** A violated invariant; `promise` names which one. */
-export interface BrokenPromise {
+export interface InvariantViolation {
   readonly promise:
     'route' | 'drain' | 'configuration' | 'evacuation' | 'flow' | 'reset';
   readonly atMs: number;
@@ -38,12 +38,12 @@
   readonly clock: Clock;
   readonly bounds: InvariantBounds;
   /** Returns the server that accepted a flow; undefined: none has. */
-  ownerOf(flow: string): CookieServer | undefined;
+  findFlowServer(flow: string): CookieServer | undefined;
 }
 
 /** Records the violations that it observes. */
-export class PromiseJudge {
-  readonly broken: BrokenPromise[] = [];
+export class InvariantChecker {
+  readonly violations: InvariantViolation[] = [];
   private readonly misroutedPackets = new Map<string, number>();
   /** Services that any published version routed a destination to. */
   private readonly allowedServices = new Map<number, Set<string>>();
@@ -55,12 +55,12 @@
   private constructor(private readonly options: InvariantCheckerOptions) {}
 
   /** Creates a checker without observations. */
-  static create(options: InvariantCheckerOptions): PromiseJudge {
-    return new PromiseJudge(options);
+  static create(options: InvariantCheckerOptions): InvariantChecker {
+    return new InvariantChecker(options);
   }
 
   /** Records that a version of the routes is published now. */
-  notePublished(routes: readonly CatalogRoute[]): void {
+  recordRoutes(routes: readonly CatalogRoute[]): void {
     const kept = new Set(routes.map(routeKey));
     this.routes
       .map(routeKey)
@@ -82,7 +82,7 @@
   }
 
   /** Records that a failure domain is evacuated now. */
-  noteEvacuated(failureDomain: string): void {
+  recordEvacuation(failureDomain: string): void {
     const since = this.evacuationStartedAt.get(failureDomain);
     this.evacuationStartedAt.set(
       failureDomain,
@@ -91,7 +91,7 @@
   }
 
   /** Records that the evacuation of a failure domain ends. */
-  noteRestored(failureDomain: string): void {
+  recordRestoration(failureDomain: string): void {
     this.evacuationStartedAt.delete(failureDomain);
   }
 
@@ -120,7 +120,7 @@
   /** Checks a packet that was sent to a server which does not hold its flow. */
   checkMisroutedPacket(packet: CookiePacket, server: string): void {
     const flow = flowName(packet);
-    const owner = this.options.ownerOf(flow);
+    const owner = this.options.findFlowServer(flow);
     if (packet.opens || owner?.hasFlow(flow) !== true) {
       return;
     }
@@ -135,12 +135,12 @@
   }
 
   /** Checks a reset that a daemon sent to the caller of a flow. */
-  judgeReset(
+  checkReset(
     flow: string,
     destination: {address: number; port: number},
     daemon: string,
   ): void {
-    const owner = this.options.ownerOf(flow);
+    const owner = this.options.findFlowServer(flow);
     const key = destinationKey(destination.address, destination.port);
     const isRouted = !this.routeRemovedAt.has(key);
     const mayReset =
@@ -188,11 +188,11 @@
   }
 
   private reportViolation(
-    promise: BrokenPromise['promise'],
+    promise: InvariantViolation['promise'],
     detail: string,
   ): void {
     const atMs = this.options.clock.now();
-    this.broken.push({promise, atMs, detail});
+    this.violations.push({promise, atMs, detail});
   }
 }
 
--- a/standins/memory-channel.ts
+++ b/standins/memory-channel.ts
@@ -22,7 +22,7 @@
   /** Blocked paths, as "from>to" with IPv4 addresses as numbers. */
   readonly blockedPaths = new Set<string>();
   /** Fraction of heartbeats that are lost. */
-  loss = 0;
+  heartbeatLossRate = 0;
   /** Counts of messages and bytes sent. */
   readonly sent = {heartbeats: 0, pulls: 0, bytes: 0};
   /** Links of the daemons, named by their addresses in decimal. */
@@ -60,7 +60,8 @@
   /** Decides whether a datagram is delivered or lost. */
   isDelivered(from: number, to: number): boolean {
     return (
-      !this.blockedPaths.has(`${from}>${to}`) && !this.random.happens(this.loss)
+      !this.blockedPaths.has(`${from}>${to}`) &&
+      !this.random.nextBool(this.heartbeatLossRate)
     );
   }
 
--- a/standins/memory-contact.ts
+++ b/standins/memory-contact.ts
@@ -1,15 +1,15 @@
 /** In-memory contact port between a daemon and the servers of a simulated platform. */
 import type {Clock} from '../src/ports/clock.js';
-import {ContactResult, ServerContact} from '../src/ports/server-contact.js';
+import {ProbeResult, ServerProber} from '../src/ports/server-prober.js';
 
 const ROUND_TRIP_MS = 2;
 /** Fractions of the time to the deadline at which connection attempts start. */
 const ATTEMPT_TIME_FRACTIONS: readonly number[] = [0, 0.4, 0.8];
 
-type Server = Parameters<ServerContact['reach']>[0];
+type Server = Parameters<ServerProber['probe']>[0];
 
 /** Contact port of one daemon. */
-export class MemoryContact extends ServerContact {
+export class MemoryContact extends ServerProber {
   private constructor(
     private readonly clock: Clock,
     private readonly isResponsive: (server: Server) => boolean,
@@ -25,7 +25,7 @@
     return new MemoryContact(clock, isResponsive);
   }
 
-  async reach(server: Server, deadline: number): Promise<ContactResult> {
+  async probe(server: Server, deadline: number): Promise<ProbeResult> {
     const start = this.clock.now();
     const times = ATTEMPT_TIME_FRACTIONS.map(
       fraction => start + (deadline - start) * fraction,
@@ -38,17 +38,17 @@
     times: readonly number[],
     server: Server,
     deadline: number,
-  ): Promise<ContactResult> {
+  ): Promise<ProbeResult> {
     const [next, ...later] = times;
     await this.sleepUntil(next ?? deadline);
     if (next === undefined) {
-      return ContactResult.SILENT;
+      return ProbeResult.TIMEOUT;
     }
     if (!this.isResponsive(server)) {
       return this.tryAtTimes(later, server, deadline);
     }
     await this.sleepUntil(this.clock.now() + ROUND_TRIP_MS);
-    return ContactResult.REACHED;
+    return ProbeResult.REACHED;
   }
 
   private sleepUntil(time: number): Promise<void> {
--- a/standins/memory-fleet.ts
+++ b/standins/memory-fleet.ts
@@ -168,13 +168,16 @@
   }
 
   /** Publishes a revision, which `readers` receive at once. */
-  edit(revision: RoutingRevision, readers: readonly FleetDaemon[]): void {
+  publishRevision(
+    revision: RoutingRevision,
+    readers: readonly FleetDaemon[],
+  ): void {
     this.revision = revision;
     readers.forEach(daemon => this.sendRevision(daemon));
   }
 
   /** Marks a server on behalf of the platform; `readers` receive the mark at once. */
-  mark(
+  markServer(
     server: string,
     state: MarkState,
     readers: readonly FleetDaemon[],
@@ -189,12 +192,12 @@
       disturbedUntilMs: this.clock.wall() + lifetimeMs,
     };
     readers.forEach(({coordinator}) =>
-      coordinator.learn([{mark, revision: undefined}]),
+      coordinator.applyChanges([{mark, revision: undefined}]),
     );
   }
 
   /** Delivers a packet to a daemon, which queues it while frozen. */
-  hand(daemon: FleetDaemon, packet: Packet): void {
+  deliver(daemon: FleetDaemon, packet: Packet): void {
     if (daemon.frozen) {
       const held = this.frozenPackets.get(daemon.id) ?? [];
       this.frozenPackets.set(daemon.id, [...held, packet]);
@@ -212,7 +215,7 @@
       () => packets.forEach(packet => this.handlePacket(daemon, packet)),
       () => this.network.thaw(daemon.address),
     ];
-    const first = this.random.below(steps.length);
+    const first = this.random.nextInt(steps.length);
     [...steps.slice(first), ...steps.slice(0, first)].forEach(step => step());
   }
 
@@ -224,7 +227,7 @@
   private sendRevision(daemon: FleetDaemon): void {
     const {revision} = this.revision;
     const document = Buffer.from(JSON.stringify(this.revision));
-    daemon.coordinator.learn([
+    daemon.coordinator.applyChanges([
       {revision: {revision, document}, mark: undefined},
     ]);
   }
@@ -250,7 +253,7 @@
       timeline: NoopTimeline.create(),
       peers: MemoryPeers.create(this.network, id, address),
       backends: this.backends,
-      read: decodeBundle,
+      parseRevision: decodeBundle,
       maximumEntries: this.options.maximumEntries ?? 1_000_000,
       scope: this.options.scope,
       placement: this.options.placement?.(),
@@ -264,7 +267,7 @@
 }
 
 /** Creates a packet of a numbered flow; the number determines its source. */
-export function packetOf(
+export function createFlowPacket(
   flow: number,
   kind: PacketKind,
   destination: {address: number; port: number; service: string},
--- a/standins/memory-log.ts
+++ b/standins/memory-log.ts
@@ -2,7 +2,7 @@
 import {Log, type LogFields} from '../src/ports/log.js';
 
 /** A log entry with its level and the process that wrote it. */
-export interface LoggedLine {
+export interface LogEntry {
   readonly process: string;
   readonly level: string;
   readonly event: string;
@@ -13,13 +13,13 @@
 export class MemoryLog extends Log {
   private constructor(
     private readonly process: string,
-    readonly lines: LoggedLine[],
+    readonly logEntries: LogEntry[],
   ) {
     super();
   }
 
   /** Creates a log that appends to `entries`. */
-  static create(process: string, entries: LoggedLine[] = []): MemoryLog {
+  static create(process: string, entries: LogEntry[] = []): MemoryLog {
     return new MemoryLog(process, entries);
   }
 
@@ -40,6 +40,6 @@
   }
 
   private append(level: string, event: string, fields: LogFields): void {
-    this.lines.push({process: this.process, level, event, fields});
+    this.logEntries.push({process: this.process, level, event, fields});
   }
 }
--- a/standins/memory-network.ts
+++ b/standins/memory-network.ts
@@ -21,22 +21,22 @@
 /** Faults of the network, which affect datagrams and calls alike. */
 export interface NetworkFaults {
   /** Fraction of datagrams that are lost. */
-  loss: number;
+  lossRate: number;
   /** Maximum random delay; datagrams may be reordered. */
   maximumDelayMs: number;
   /** Whether pushed entries are acknowledged but not delivered. */
-  swallowPushes: boolean;
+  discardPushes: boolean;
 }
 
 /** The network between all daemons. */
 export class MemoryNetwork {
   readonly faults: NetworkFaults = {
-    loss: 0,
+    lossRate: 0,
     maximumDelayMs: 1,
-    swallowPushes: false,
+    discardPushes: false,
   };
   /** Blocked paths, as "from>to". */
-  readonly cut = new Set<string>();
+  readonly blockedPaths = new Set<string>();
   /** Bytes of probes and of pushed entries that the daemons sent. */
   readonly sentBytes = {probes: 0, entries: 0};
   private readonly handlers = new Map<string, PeerHandlers>();
@@ -77,12 +77,12 @@
   }
 
   /** Blocks or unblocks one direction between two daemons. */
-  setCut(from: string, to: string, isBlocked: boolean): void {
+  setPathBlocked(from: string, to: string, isBlocked: boolean): void {
     const path = `${from}>${to}`;
     if (isBlocked) {
-      this.cut.add(path);
+      this.blockedPaths.add(path);
     } else {
-      this.cut.delete(path);
+      this.blockedPaths.delete(path);
     }
   }
 
@@ -112,8 +112,8 @@
     run: (handlers: PeerHandlers) => T | Promise<T>,
   ): ResultAsync<T, PeerUnavailable> {
     const unreachable =
-      this.cut.has(`${from}>${to}`) ||
-      this.cut.has(`${to}>${from}`) ||
+      this.blockedPaths.has(`${from}>${to}`) ||
+      this.blockedPaths.has(`${to}>${from}`) ||
       !this.handlers.has(from) ||
       !this.handlers.has(to);
     if (unreachable) {
@@ -151,10 +151,10 @@
 
   private isLost(from: string, to: string): boolean {
     return (
-      this.cut.has(`${from}>${to}`) ||
+      this.blockedPaths.has(`${from}>${to}`) ||
       !this.handlers.has(from) ||
       this.heldDatagrams.has(from) ||
-      this.random.happens(this.faults.loss)
+      this.random.nextBool(this.faults.lossRate)
     );
   }
 }
@@ -210,7 +210,7 @@
     this.network.sentBytes.entries +=
       ExceptionBatch.encode(batch).finish().length;
     return this.call(address, deadline, handlers =>
-      this.network.faults.swallowPushes
+      this.network.faults.discardPushes
         ? exceptions.length
         : handlers.onExceptions(this.id, exceptions, target),
     );
--- a/standins/memory-requests.ts
+++ b/standins/memory-requests.ts
@@ -56,9 +56,9 @@
 export class MemoryRequestServers extends BackendServers {
   readonly runs = new Map<string, number>();
   /** Fraction of answers that are lost. */
-  lostAnswers = 0;
+  lostAnswerRate = 0;
   /** Fraction of answers that are truncated. */
-  truncatedAnswers = 0;
+  truncatedAnswerRate = 0;
   /** Busy slots by server. */
   private readonly busy = new Map<string, number>();
 
@@ -75,7 +75,7 @@
   }
 
   /** Returns the complete answer to the request with a key. */
-  answerTo(key: string): string {
+  createAnswer(key: string): string {
     return `answer to ${key}`;
   }
 
@@ -134,11 +134,11 @@
     {key, attempt}: RunRequest,
     answer: (reply: RunReply) => void,
   ): void {
-    if (this.random.happens(this.lostAnswers)) {
+    if (this.random.nextBool(this.lostAnswerRate)) {
       return;
     }
-    const whole = Buffer.from(this.answerTo(key));
-    const isTruncated = this.random.happens(this.truncatedAnswers);
+    const whole = Buffer.from(this.createAnswer(key));
+    const isTruncated = this.random.nextBool(this.truncatedAnswerRate);
     answer({
       started: true,
       refusal: '',
@@ -227,7 +227,7 @@
   }
 
   /** Whether a request was sent more than once, and so may get several replies. */
-  wasSentAgain(key: string): boolean {
+  wasResent(key: string): boolean {
     return (this.sendCounts.get(key) ?? 0) > 1;
   }
 
@@ -264,14 +264,14 @@
   }
 
   /** Makes one daemon consider all others gone. */
-  split(index: number): void {
+  hideAllPeers(index: number): void {
     const daemon = this.daemons[index % DAEMON_COUNT];
     const others = this.daemons.filter(other => other !== daemon);
     this.hiddenPeers.set(daemon.id, new Set(others.map(({id}) => id)));
   }
 
   /** Makes the views of all daemons agree again. */
-  agree(): void {
+  restoreViews(): void {
     this.hiddenPeers.clear();
   }
 
@@ -306,7 +306,7 @@
     const common = {self: id, clock, hasher, counters, backends: this.backends};
     const dispatcher = Dispatcher.create({
       ...common,
-      queueBound: SERVICE.queue,
+      queueCapacity: SERVICE.queue,
       retryShare: 0.1,
     });
     dispatcher.useServers(
@@ -341,8 +341,8 @@
       onPullChanges: () => ({epoch: 0, top: 0, changes: []}),
       onPullMembers: () => ({members: [], loads: []}),
       onForward: request => entry.handle(request),
-      onKeepKeys: (range, records) => ranges.get(range).memory.merge(records),
-      onPullKeys: range => ranges.get(range).memory.records(),
+      onKeepKeys: (range, records) => ranges.get(range).keys.merge(records),
+      onPullKeys: range => ranges.get(range).keys.records(),
     });
     ranges.start();
     return {id, address, clock, entry, ranges, alive: true, frozen: false};
--- a/standins/memory-store.ts
+++ b/standins/memory-store.ts
@@ -24,9 +24,9 @@
 /** Key-value store on virtual time. */
 export class MemoryStore extends Store {
   /** Whether every call fails. */
-  down = false;
+  isDown = false;
   /** Fraction of writes that take effect although their response is lost. */
-  loseAnswers = 0;
+  lostAnswerRate = 0;
   calls = 0;
   private readonly values = new Map<string, StoredValue>();
   private readonly leases = new Map<string, Lease>();
@@ -71,7 +71,7 @@
   ): ResultAsync<StoredValue, StoreFailure> {
     const poll = async (): Promise<StoredValue> => {
       await this.sleep(POLL_MS);
-      if (this.down) {
+      if (this.isDown) {
         throw StoreUnavailable.create('watch', 'store is down');
       }
       const value = this.read(key);
@@ -126,12 +126,12 @@
     this.calls += 1;
     const served = async (): Promise<T> => {
       await this.sleep(ONE_WAY_LATENCY_MS);
-      if (this.down) {
+      if (this.isDown) {
         throw StoreUnavailable.create(call, 'store is down');
       }
       const result = run();
       await this.sleep(ONE_WAY_LATENCY_MS);
-      if (writes && this.random.happens(this.loseAnswers)) {
+      if (writes && this.random.nextBool(this.lostAnswerRate)) {
         throw StoreUnavailable.create(call, 'response lost');
       }
       return result;
--- a/standins/packet-router.ts
+++ b/standins/packet-router.ts
@@ -10,32 +10,37 @@
 const FLOW_HASH_SEED = 5;
 
 /** The router's state of a daemon. */
-export interface CheckedDaemon {
+export interface RoutedDaemon {
   readonly name: string;
   /** Readiness checks failed in a row. */
-  misses: number;
+  consecutiveFailures: number;
   /** Whether the router sends it packets. */
-  isIn: boolean;
+  isInService: boolean;
 }
 
 /** Records the result of a readiness check. */
-export function noteCheck(daemon: CheckedDaemon, ready: boolean): void {
-  daemon.misses = ready ? 0 : daemon.misses + 1;
-  daemon.isIn =
-    ready || (daemon.isIn && daemon.misses < FAILURES_BEFORE_REMOVAL);
+export function recordReadinessCheck(
+  daemon: RoutedDaemon,
+  ready: boolean,
+): void {
+  daemon.consecutiveFailures = ready ? 0 : daemon.consecutiveFailures + 1;
+  daemon.isInService =
+    ready ||
+    (daemon.isInService &&
+      daemon.consecutiveFailures < FAILURES_BEFORE_REMOVAL);
 }
 
 /**
  * Selects the daemon of a flow among those in service by rendezvous hashing; undefined:
  * none is in service.
  */
-export function chooseDaemon<T extends CheckedDaemon>(
+export function selectDaemon<T extends RoutedDaemon>(
   daemons: readonly T[],
   flow: string,
   hasher: Hasher,
 ): T | undefined {
   const [chosen] = daemons
-    .filter(daemon => daemon.isIn)
+    .filter(daemon => daemon.isInService)
     .map(daemon => ({
       daemon,
       score: hasher.hashText(`${daemon.name}/${flow}`, FLOW_HASH_SEED),
--- a/standins/platform-faults.ts
+++ b/standins/platform-faults.ts
@@ -25,7 +25,9 @@
   const name = names[fault.which % names.length];
   const runAfterDuration = (task: () => void) =>
     platform.clock.callAt(platform.clock.now() + fault.lastsMs, task);
-  const servers = platform.liveServers(fault.which % 3 === 0 ? 'docs' : 'pay');
+  const servers = platform.listReadyServers(
+    fault.which % 3 === 0 ? 'docs' : 'pay',
+  );
   const server = servers[fault.which % Math.max(1, servers.length)];
   const hasSpareServer = servers.length > 1;
   const actions: Record<string, () => void> = {
@@ -36,8 +38,8 @@
     stop: () =>
       void platform.stopDaemon(name).then(() => platform.startDaemon(name)),
     'cut-peers': () => {
-      platform.cutFromPeers(name, true);
-      runAfterDuration(() => platform.cutFromPeers(name, false));
+      platform.setPartitionedFromPeers(name, true);
+      runAfterDuration(() => platform.setPartitionedFromPeers(name, false));
     },
     'cut-store': () => {
       platform.store.outages.set(name, OutageKind.SILENT);
@@ -48,12 +50,12 @@
       runAfterDuration(() => platform.store.outages.delete(''));
     },
     'store-slow': () => {
-      platform.store.answerMs = 300;
+      platform.store.responseLatencyMs = 300;
       runAfterDuration(() => {
-        platform.store.answerMs = 4;
+        platform.store.responseLatencyMs = 4;
       });
     },
-    forget: () => platform.store.forgetHistory(),
+    forget: () => platform.store.compactHistory(),
     drain: () => {
       if (hasSpareServer) {
         platform.drainServer(server, 4_000);
@@ -67,8 +69,8 @@
     },
     pause: () => platform.pauseServer(server, fault.lastsMs),
     'cut-servers': () => {
-      platform.cutFromServers.add(name);
-      runAfterDuration(() => platform.cutFromServers.delete(name));
+      platform.partitionedFromServers.add(name);
+      runAfterDuration(() => platform.partitionedFromServers.delete(name));
     },
     reuse: () => {
       if (hasSpareServer) {
@@ -82,19 +84,21 @@
     restart: () => void platform.restartServer(server),
     move: () => void platform.moveServer(server),
     spoil: () => {
-      platform.spoilEntry(server);
+      platform.corruptEntry(server);
       runAfterDuration(() =>
-        platform.mendEntry(platform.serverOf(server.entry.id) ?? server),
+        platform.rewriteEntry(platform.findServer(server.entry.id) ?? server),
       );
     },
     add: () => void platform.startServer('pay'),
     evacuate: () => {
       const {failureDomain} = server.entry;
-      platform.evacuate(failureDomain);
-      runAfterDuration(() => platform.restore(failureDomain));
+      platform.evacuateDomain(failureDomain);
+      runAfterDuration(() => platform.restoreDomain(failureDomain));
     },
     routes: () =>
-      platform.publish(platform.publishedRoutes.length > 1 ? [first] : routes),
+      platform.publishRoutes(
+        platform.publishedRoutes.length > 1 ? [first] : routes,
+      ),
   };
   actions[fault.kind]();
 }
--- a/standins/request-callers.ts
+++ b/standins/request-callers.ts
@@ -11,7 +11,7 @@
   type CallerRequest,
 } from '../src/generated/request.js';
 import {createAnswer} from './backend-server.js';
-import {startStandinServer} from './knobs.js';
+import {startStandinServer} from './standin-control.js';
 import {Random} from '../src/routing/random.js';
 
 const TICK_MS = 5;
@@ -21,7 +21,7 @@
 const RETRY_DELAY_MS = 200;
 
 /** Command of the control service to send requests. */
-export interface RequestOrder {
+export interface SendRequestsCommand {
   readonly workspace: string;
   readonly service: string;
   readonly repeatable: boolean;
@@ -64,7 +64,7 @@
 
 /** Requests and outcomes of one command. */
 interface CommandProgress {
-  readonly command: RequestOrder;
+  readonly command: SendRequestsCommand;
   readonly histogram: Histogram;
   readonly outcomes: KeyOutcome[];
   requests: number;
@@ -108,7 +108,7 @@
   }
 
   private applySettings(settings: Record<string, unknown>): unknown {
-    const command = settings['send'] as RequestOrder | undefined;
+    const command = settings['send'] as SendRequestsCommand | undefined;
     if (command !== undefined) {
       const name = `${command.workspace}/${command.service}/${this.progressByName.size}`;
       this.progressByName.set(name, createProgress(command));
@@ -175,7 +175,7 @@
       hops: 0,
       issuedMs: Date.now(),
     };
-    const twice = this.random.happens(command.duplicates);
+    const twice = this.random.nextBool(command.duplicates);
     const replies = await Promise.all(
       [0, ...(twice ? [1] : [])].map(() =>
         this.callWithRetries(request, deadline),
@@ -232,7 +232,7 @@
   }
 }
 
-function createProgress(command: RequestOrder): CommandProgress {
+function createProgress(command: SendRequestsCommand): CommandProgress {
   return {
     command,
     histogram: build({numberOfSignificantValueDigits: LATENCY_DIGITS}),
--- a/standins/simulated-platform.ts
+++ b/standins/simulated-platform.ts
@@ -7,14 +7,14 @@
 import type {
   CatalogRoute,
   CatalogServer,
-  ColdService,
+  ColdRateLimit,
   RouteListing,
 } from '../src/catalog/records.js';
 import {EntryDaemon} from '../src/entry/entry-daemon.js';
 import type {EntryFeatures, EntrySettings} from '../src/entry/settings.js';
 import type {CallerPosition, CookiePacket} from '../src/ports/cookie-fabric.js';
 import type {Hasher} from '../src/ports/hasher.js';
-import type {ColdLimits} from '../src/routing/cold-openings.js';
+import type {ColdStartLimits} from '../src/routing/cold-start-limiter.js';
 import type {Placement} from '../src/routing/placement.js';
 import {Random} from '../src/routing/random.js';
 import {
@@ -23,19 +23,23 @@
   STORE_LINK,
 } from './catalog-store.js';
 import {CookieCallerFleet} from './cookie-caller-fleet.js';
-import {CallEnd, flowName, type CookieCaller} from './cookie-callers.js';
+import {CallOutcome, flowName, type CookieCaller} from './cookie-callers.js';
 import {CookieServerFleet, type ServerWorkPlan} from './cookie-server-fleet.js';
 import type {CookieServer, ServerPacket} from './cookie-servers.js';
 import {FakeClock, ProcessClock} from './fake-clock.js';
 import {ChannelNetwork, MemoryChannel} from './memory-channel.js';
 import {MemoryContact} from './memory-contact.js';
-import {MemoryLog, type LoggedLine} from './memory-log.js';
-import {chooseDaemon, noteCheck, type CheckedDaemon} from './packet-router.js';
+import {MemoryLog, type LogEntry} from './memory-log.js';
 import {
-  PromiseJudge,
-  type BrokenPromise,
+  selectDaemon,
+  recordReadinessCheck,
+  type RoutedDaemon,
+} from './packet-router.js';
+import {
+  InvariantChecker,
+  type InvariantViolation,
   type InvariantBounds,
-} from './promise-judge.js';
+} from './invariant-checker.js';
 import {SimulatedFabric} from './simulated-fabric.js';
 
 /** Latency between any two processes. */
@@ -53,7 +57,7 @@
 const SERVER_PORT = 8_080;
 const QUEUE_LENGTH = 8;
 /** Limits on new flows to cold servers. */
-export const COLD_LIMITS: ColdLimits = {excess: 1.5, slack: 5};
+export const COLD_LIMITS: ColdStartLimits = {excess: 1.5, slack: 5};
 
 /** Start times that restarted servers report in turn: forward and backward jumps. */
 const RESTART_START_TIMES_MS: readonly number[] = [
@@ -76,7 +80,7 @@
   readonly routes: readonly CatalogRoute[];
   readonly bounds: InvariantBounds;
   /** Services with a warm-up rate for cold servers; undefined: none. */
-  readonly coldServices?: readonly ColdService[];
+  readonly coldServices?: readonly ColdRateLimit[];
   /** Region by failure domain; undefined: no regions. */
   readonly regions?: ReadonlyMap<string, string>;
   /** Rate of the store's link; undefined: unlimited. */
@@ -92,7 +96,7 @@
 }
 
 /** A simulated daemon, running or stopped. */
-export interface SimulatedDaemon extends CheckedDaemon {
+export interface SimulatedDaemon extends RoutedDaemon {
   readonly settings: EntrySettings;
   running: EntryDaemon | undefined;
   clock: ProcessClock;
@@ -101,8 +105,8 @@
 
 /** Counts of finished calls by outcome, and durations of the answered ones. */
 export interface CallResults {
-  readonly ends: Record<CallEnd, number>;
-  readonly tookMs: number[];
+  readonly outcomes: Record<CallOutcome, number>;
+  readonly durationsMs: number[];
 }
 
 /** A simulated platform with its daemons, servers, callers, router and store. */
@@ -112,13 +116,13 @@
   readonly store: CatalogStore;
   readonly network: ChannelNetwork;
   readonly daemons = new Map<string, SimulatedDaemon>();
-  readonly lines: LoggedLine[] = [];
+  readonly logEntries: LogEntry[] = [];
   /** Names of the daemons whose packets do not reach servers. */
-  readonly cutFromServers = new Set<string>();
-  readonly invariants: PromiseJudge;
-  readonly tally: CallResults = {
-    ends: {answered: 0, refused: 0, cut: 0, 'timed-out': 0},
-    tookMs: [],
+  readonly partitionedFromServers = new Set<string>();
+  readonly invariants: InvariantChecker;
+  readonly callResults: CallResults = {
+    outcomes: {answered: 0, refused: 0, cut: 0, 'timed-out': 0},
+    durationsMs: [],
   };
   private readonly servers: CookieServerFleet;
   private readonly callers: CookieCallerFleet;
@@ -133,24 +137,25 @@
     this.random = Random.create(plan.seed);
     this.store = CatalogStore.create(this.clock);
     this.network = ChannelNetwork.create(this.clock, this.random);
-    this.invariants = PromiseJudge.create({
+    this.invariants = InvariantChecker.create({
       clock: this.clock,
       bounds: plan.bounds,
-      ownerOf: flow => this.servers.find(this.callers.serverOf(flow) ?? ''),
+      findFlowServer: flow =>
+        this.servers.find(this.callers.findServerId(flow) ?? ''),
     });
     this.servers = CookieServerFleet.create({
       store: this.store,
-      judge: this.invariants,
+      invariants: this.invariants,
       clock: this.clock,
       send: packet => this.sendToCaller(packet),
-      later: (milliseconds, task) => {
+      runAfter: (milliseconds, task) => {
         this.clock.callAt(this.clock.now() + milliseconds, task);
       },
     });
     this.callers = CookieCallerFleet.create({
       clock: this.clock,
       firstAddress: FIRST_CALLER_ADDRESS,
-      addresses: CALLER_ADDRESS_COUNT,
+      addressCount: CALLER_ADDRESS_COUNT,
       send: packet => this.sendToFabric(packet),
       onEnd: (end, startedAt) => this.recordCallOutcome(end, startedAt),
     });
@@ -170,7 +175,7 @@
         platform.startServer(service.name),
       ),
     );
-    platform.publish(plan.routes);
+    platform.publishRoutes(plan.routes);
     Array.from({length: plan.daemons}, (_daemon, index) =>
       platform.addDaemon(index),
     );
@@ -185,8 +190,8 @@
   }
 
   /** Publishes a new version of the routes. */
-  publish(routes: readonly CatalogRoute[]): void {
-    this.invariants.notePublished(routes);
+  publishRoutes(routes: readonly CatalogRoute[]): void {
+    this.invariants.recordRoutes(routes);
     this.routes = {
       version: this.routes.version + 1,
       routes,
@@ -196,20 +201,20 @@
   }
 
   /** Evacuates the servers of a failure domain. */
-  evacuate(failureDomain: string): void {
-    this.invariants.noteEvacuated(failureDomain);
-    this.store.evacuate(failureDomain);
+  evacuateDomain(failureDomain: string): void {
+    this.invariants.recordEvacuation(failureDomain);
+    this.store.evacuateDomain(failureDomain);
   }
 
   /** Ends the evacuation of a failure domain. */
-  restore(failureDomain: string): void {
-    this.invariants.noteRestored(failureDomain);
-    this.store.restore(failureDomain);
+  restoreDomain(failureDomain: string): void {
+    this.invariants.recordRestoration(failureDomain);
+    this.store.restoreDomain(failureDomain);
   }
 
   /** Violations recorded so far. */
-  get broken(): readonly BrokenPromise[] {
-    return this.invariants.broken;
+  get violations(): readonly InvariantViolation[] {
+    return this.invariants.violations;
   }
 
   /** Routes of the version published last. */
@@ -256,12 +261,12 @@
   }
 
   /** Overwrites a server's store entry with unreadable data. */
-  spoilEntry(server: CookieServer): void {
-    this.store.spoilServer(server.entry.id);
+  corruptEntry(server: CookieServer): void {
+    this.store.corruptServer(server.entry.id);
   }
 
   /** Writes a server's store entry again unless the server has crashed. */
-  mendEntry({entry, state, hasCrashed}: CookieServer): void {
+  rewriteEntry({entry, state, hasCrashed}: CookieServer): void {
     if (!hasCrashed) {
       this.store.putServer({...entry, state});
     }
@@ -275,13 +280,13 @@
   }
 
   /** Returns the latest server with an id, running or not. */
-  serverOf(id: string): CookieServer | undefined {
+  findServer(id: string): CookieServer | undefined {
     return this.servers.find(id);
   }
 
   /** Lists servers of a service that are neither draining nor crashed. */
-  liveServers(service: string): CookieServer[] {
-    return this.servers.live(service);
+  listReadyServers(service: string): CookieServer[] {
+    return this.servers.listReady(service);
   }
 
   /** Starts draining a server, which terminates `afterMs` later. */
@@ -305,7 +310,7 @@
 
   /** Starts a daemon that is not running; resolves when it has started. */
   async startDaemon(name: string, isFirstStart = false): Promise<void> {
-    const daemon = this.daemonOf(name);
+    const daemon = this.getDaemon(name);
     daemon.clock = ProcessClock.create(this.clock);
     daemon.fabric = SimulatedFabric.create(this, name);
     const {clock, fabric} = daemon;
@@ -316,11 +321,11 @@
       clock,
       fabric,
       hasher: this.hasher,
-      random: Random.create(this.random.below(1_000_000)),
+      random: Random.create(this.random.nextInt(1_000_000)),
       counters: MemoryCounters.create(),
-      log: MemoryLog.create(name, this.lines),
+      log: MemoryLog.create(name, this.logEntries),
       channel: MemoryChannel.create(address, this.network, clock),
-      contact: MemoryContact.create(clock, server =>
+      prober: MemoryContact.create(clock, server =>
         this.isHostResponsive(server, name),
       ),
       source: MemoryCatalogSource.create(
@@ -337,7 +342,7 @@
 
   /** Kills a daemon without a shutdown. */
   killDaemon(name: string): void {
-    const daemon = this.daemonOf(name);
+    const daemon = this.getDaemon(name);
     daemon.running = undefined;
     daemon.clock.freeze();
     daemon.fabric.close();
@@ -346,7 +351,7 @@
 
   /** Stops a daemon gracefully; resolves when it has terminated. */
   async stopDaemon(name: string): Promise<void> {
-    const daemon = this.daemonOf(name);
+    const daemon = this.getDaemon(name);
     const {running} = daemon;
     await running?.stop();
     if (daemon.running === running) {
@@ -355,16 +360,20 @@
   }
 
   /** Partitions a daemon from all its peers, or ends the partition. */
-  cutFromPeers(name: string, isPartitioned: boolean): void {
+  setPartitionedFromPeers(name: string, isPartitioned: boolean): void {
     this.daemons.forEach(other =>
-      this.cutBetween(name, other.name, isPartitioned),
+      this.setPartitionedBetween(name, other.name, isPartitioned),
     );
   }
 
   /** Partitions two daemons from each other, or ends the partition. */
-  cutBetween(name: string, other: string, isPartitioned: boolean): void {
-    const one = this.daemonOf(name).settings.address;
-    const two = this.daemonOf(other).settings.address;
+  setPartitionedBetween(
+    name: string,
+    other: string,
+    isPartitioned: boolean,
+  ): void {
+    const one = this.getDaemon(name).settings.address;
+    const two = this.getDaemon(other).settings.address;
     [`${one}>${two}`, `${two}>${one}`].forEach(path =>
       isPartitioned
         ? this.network.blockedPaths.add(path)
@@ -378,12 +387,13 @@
     name: string,
   ): boolean {
     return (
-      !this.cutFromServers.has(name) && this.servers.isHostResponsive(address)
+      !this.partitionedFromServers.has(name) &&
+      this.servers.isHostResponsive(address)
     );
   }
 
   /** Returns a daemon by name; throws if there is none. */
-  daemonOf(name: string): SimulatedDaemon {
+  getDaemon(name: string): SimulatedDaemon {
     const daemon = this.daemons.get(name);
     if (daemon === undefined) {
       throw new Error(`simulated platform has no daemon ${name}`);
@@ -392,7 +402,7 @@
   }
 
   /** Starts a caller that sends `requests` requests on one flow, `pauseMs` apart. */
-  call(
+  startCaller(
     route: CatalogRoute,
     requests: number,
     timeoutMs: number,
@@ -409,7 +419,7 @@
     daemon: string,
   ): void {
     const {address, id} = target;
-    if (!this.cutFromServers.has(daemon)) {
+    if (!this.partitionedFromServers.has(daemon)) {
       this.runAfterLatency(() =>
         this.servers.deliver(packet, address, id, cookie),
       );
@@ -421,8 +431,8 @@
     this.runAfterLatency(() => {
       const flow = flowName(caller);
       const {destinationAddress: address, destinationPort: port} = caller;
-      this.invariants.judgeReset(flow, {address, port}, daemon);
-      this.callers.find(flow)?.receiveReset();
+      this.invariants.checkReset(flow, {address, port}, daemon);
+      this.callers.find(flow)?.handleDaemonReset();
     });
   }
 
@@ -463,8 +473,8 @@
       running: undefined,
       clock: ProcessClock.create(this.clock),
       fabric: SimulatedFabric.create(this, name),
-      misses: 0,
-      isIn: false,
+      consecutiveFailures: 0,
+      isInService: false,
     });
   }
 
@@ -477,7 +487,7 @@
   private pollReadiness(): void {
     this.daemons.forEach(daemon => {
       const ready = daemon.running?.isReady() === true;
-      noteCheck(daemon, ready);
+      recordReadinessCheck(daemon, ready);
     });
     this.clock.callAt(this.clock.now() + READINESS_INTERVAL_MS, () =>
       this.pollReadiness(),
@@ -485,7 +495,7 @@
   }
 
   private sendToFabric(packet: CookiePacket): void {
-    const chosen = chooseDaemon(
+    const chosen = selectDaemon(
       [...this.daemons.values()],
       flowName(packet),
       this.hasher,
@@ -501,10 +511,10 @@
     this.clock.callAt(this.clock.now() + ONE_WAY_LATENCY_MS, task);
   }
 
-  private recordCallOutcome(end: CallEnd, startedAt: number): void {
-    this.tally.ends[end] += 1;
-    if (end === CallEnd.ANSWERED) {
-      this.tally.tookMs.push(this.clock.now() - startedAt);
+  private recordCallOutcome(end: CallOutcome, startedAt: number): void {
+    this.callResults.outcomes[end] += 1;
+    if (end === CallOutcome.ANSWERED) {
+      this.callResults.durationsMs.push(this.clock.now() - startedAt);
     }
   }
 }
--- a/standins/knobs.ts
+++ b/standins/standin-control.ts
@@ -55,7 +55,7 @@
 }
 
 /** Client of a stand-in's control service. */
-export class Knobs {
+export class StandinControl {
   private readonly client: KnobsClient;
   private readonly clock = SystemClock.create();
 
@@ -67,12 +67,12 @@
   }
 
   /** Creates a client of the stand-in at "ip:port". */
-  static create(address: string): Knobs {
-    return new Knobs(address);
+  static create(address: string): StandinControl {
+    return new StandinControl(address);
   }
 
   /** Applies settings and returns the stand-in's report; throws if the call fails. */
-  async turn<T>(settings: Record<string, unknown> = {}): Promise<T> {
+  async configure<T>(settings: Record<string, unknown> = {}): Promise<T> {
     const deadline = this.clock.now() + CALL_TIMEOUT_MS;
     const result = await callUnary<KnobReport>(
       this.clock,
--- a/standins/store.ts
+++ b/standins/store.ts
@@ -11,7 +11,7 @@
   type WatchRequest,
 } from '../src/generated/platform.js';
 import {MAXIMUM_VALUE_BYTES} from '../src/ports/store.js';
-import {startStandinServer, applyKnobs} from './knobs.js';
+import {startStandinServer, applyKnobs} from './standin-control.js';
 import {Random} from '../src/routing/random.js';
 
 interface StoredEntry {
@@ -104,7 +104,7 @@
       }
       const reply = run();
       const lost =
-        kind === 'writes' && this.random.happens(this.knobs.loseAnswers);
+        kind === 'writes' && this.random.nextBool(this.knobs.loseAnswers);
       if (lost) {
         fail(callback, 'response lost');
       } else {
