--- a/standins/cookie-callers.ts
+++ b/standins/cookie-callers.ts
@@ -176,8 +176,8 @@
     );
   }
 
-  private sendOpening(openCopy: number): void {
-    this.send({opens: true, openAttempt: openCopy, dataLength: 0});
+  private sendOpening(openAttempt: number): void {
+    this.send({opens: true, openAttempt, dataLength: 0});
   }
 
   private send(fields: Partial<CookiePacket>): void {
