--- a/bench/experiments/placing.ts
+++ b/bench/experiments/placing.ts
@@ -71,10 +71,10 @@
       TwoChoicesPlacement.create(Random.create(context.seed), loadOf);
     const policies: Readonly<Record<string, () => Placement>> = {
       hash: () => new HashPlacement(),
-      twoByOwn: () => twoChoices(({localFlows: ownFlows}) => ownFlows),
+      twoByOwn: () => twoChoices(({localFlows}) => localFlows),
       twoByAll: () => twoChoices(({flows}) => flows),
       twoByBoth: () =>
-        twoChoices(({localFlows: ownFlows, flows}) => ownFlows * 8 + flows / 8),
+        twoChoices(({localFlows, flows}) => localFlows * 8 + flows / 8),
       leastByOwn: () => LocalLoadPlacement.create(),
       leastWork: () => LeastLoadedPlacement.create(),
     };
--- a/src/adapters/http-client.ts
+++ b/src/adapters/http-client.ts
@@ -174,11 +174,11 @@
     private readonly options: HttpClientOptions,
     onClose: () => void,
   ) {
-    const {host, port, maxBodyBytes: longestBody} = options;
+    const {host, port, maxBodyBytes} = options;
     this.socket = net.connect({host, port, noDelay: true});
     this.parser = HttpMessageParser.create({
       sender: HttpSide.SERVER,
-      maxBodyBytes: longestBody,
+      maxBodyBytes,
       onMessage: message => this.finish(ok(message)),
     });
     this.socket.on('data', bytes => {
--- a/src/configuration/watcher.ts
+++ b/src/configuration/watcher.ts
@@ -58,13 +58,7 @@
   }
 
   private async watchOnce(): Promise<void> {
-    const {
-      store,
-      clock,
-      onValue,
-      onStoreRestored: onBack,
-      onStoreLost: onLost,
-    } = this.options;
+    const {store, clock, onValue, onStoreRestored, onStoreLost} = this.options;
     const deadline = clock.now() + WATCH_TIMEOUT_MS;
     const result = await store.watch(DOCUMENT_KEY, this.version, deadline);
     if (this.stopped) {
@@ -73,14 +67,14 @@
     if (result.isErr()) {
       this.consecutiveFailures += 1;
       if (this.consecutiveFailures === 1) {
-        onLost(result.error.message);
+        onStoreLost(result.error.message);
       }
       await this.pause(this.backoff());
       return;
     }
     if (this.consecutiveFailures > 0) {
       this.consecutiveFailures = 0;
-      onBack();
+      onStoreRestored();
     }
     this.version = result.value.version;
     onValue(result.value.value);
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -242,13 +242,13 @@
   }
 
   private createReachability(): ServerReachability {
-    const {settings, prober: contact, clock, log} = this.options;
+    const {settings, prober, clock, log} = this.options;
     const {address, failureDomain, flowLifetimeMs} = settings;
     return ServerReachability.create({
       self: address,
       failureDomain,
       flowLifetimeMs,
-      prober: contact,
+      prober,
       peers: this.peers,
       clock,
       log,
--- a/src/entry/flow-terminator.ts
+++ b/src/entry/flow-terminator.ts
@@ -94,7 +94,9 @@
     const {router, serverLoad, clock, log} = this.options;
     const flows = router.flows
       .rebindFlows(server)
-      .filter(({isOpen, retainedPacket: kept}) => isOpen && kept !== undefined);
+      .filter(
+        ({isOpen, retainedPacket}) => isOpen && retainedPacket !== undefined,
+      );
     serverLoad.forget(server.id);
     const {id, service} = server;
     log.info('server-restarted', {server: id, service, flows: flows.length});
@@ -153,13 +155,17 @@
   ): SendTask {
     const {fabric, counters} = this.options;
     return () => {
-      const {retainedPacket: kept, hasEnded, lastPacketAt: seenAt} = flow;
-      if (kept === undefined || hasEnded || seenAt > restartedAt) {
+      const {retainedPacket, hasEnded, lastPacketAt} = flow;
+      if (
+        retainedPacket === undefined ||
+        hasEnded ||
+        lastPacketAt > restartedAt
+      ) {
         return 0;
       }
-      fabric.forward(kept, server, kept.cookie);
+      fabric.forward(retainedPacket, server, retainedPacket.cookie);
       counters.add(Metric.PACKETS_REPEATED);
-      return kept.bytes.length + FORWARD_HEADER_BYTES;
+      return retainedPacket.bytes.length + FORWARD_HEADER_BYTES;
     };
   }
 
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -256,11 +256,11 @@
 
   /** Probes a server; an answer to a caller in the meantime counts as success. */
   private async probe(server: CatalogServer): Promise<ProbeResult> {
-    const {clock, prober: contact} = this.options;
+    const {clock, prober} = this.options;
     const startedAt = clock.now();
     const deadline = startedAt + PROBE_TIMEOUT_MS;
     this.activeProbes += 1;
-    const result = await contact.probe(server, deadline);
+    const result = await prober.probe(server, deadline);
     this.activeProbes -= 1;
     const isLate = clock.now() > deadline + MAX_TIMER_DELAY_MS;
     const answers = this.options.lastAnsweredAt(server.id) >= startedAt;
--- a/src/routing/candidates.ts
+++ b/src/routing/candidates.ts
@@ -58,7 +58,7 @@
 ): Candidate[] {
   const {flowCounts, memberCount, wallMs} = context;
   return servers
-    .map(({id, server, weight, addedAtMs: addedAtMs}) => ({
+    .map(({id, server, weight, addedAtMs}) => ({
       server,
       weight: weight * slowStartShare(addedAtMs, routed.warmUpMs, wallMs),
       flows: flowCounts.estimate(id, memberCount),
--- a/src/routing/cookie-router.spec.ts
+++ b/src/routing/cookie-router.spec.ts
@@ -75,7 +75,7 @@
   );
   const router = CookieRouter.create({
     catalog,
-    loadTracker: loadTracker,
+    loadTracker,
     placement: LeastLoadedPlacement.create(),
     clock,
     random: Random.create(3),
--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -83,13 +83,7 @@
   private readonly serverSelector: ServerSelector;
 
   private constructor(private readonly options: CookieRouterOptions) {
-    const {
-      counters,
-      loadTracker,
-      clock,
-      observer,
-      retainsPackets: keepsPackets,
-    } = options;
+    const {counters, loadTracker, clock, observer, retainsPackets} = options;
     this.serverSelector = ServerSelector.create(options);
     this.requestTracker = observer && RequestTracker.create(observer);
     this.flows = FlowTracker.create({
@@ -97,7 +91,7 @@
       loadTracker,
       requestTracker: this.requestTracker,
       retainedPackets:
-        keepsPackets === true ? RetainedPackets.create() : undefined,
+        retainsPackets === true ? RetainedPackets.create() : undefined,
       onUnanswered: server =>
         this.serverSelector.recordUnanswered(server, clock.now()),
     });
--- a/standins/catalog-store.ts
+++ b/standins/catalog-store.ts
@@ -208,8 +208,9 @@
         removed === undefined ? [] : [{id: removed, revision: at}],
       ),
       domains: events.flatMap(({domain}) => domain ?? []),
-      snapshotRevision: events.filter(({isSnapshotWrite: kept}) => kept).pop()
-        ?.revision,
+      snapshotRevision: events
+        .filter(({isSnapshotWrite}) => isSnapshotWrite)
+        .pop()?.revision,
     };
   }
 
--- a/standins/cookie-caller-fleet.ts
+++ b/standins/cookie-caller-fleet.ts
@@ -45,11 +45,11 @@
     pauseMs = 0,
   ): CookieCaller {
     this.count += 1;
-    const {clock, firstAddress, addressCount: addresses} = this.options;
+    const {clock, firstAddress, addressCount} = this.options;
     const startedAt = clock.now();
     const caller = CookieCaller.create({
       clock,
-      sourceAddress: firstAddress + (this.count % addresses),
+      sourceAddress: firstAddress + (this.count % addressCount),
       sourcePort: FIRST_PORT + (this.count % PORT_COUNT),
       destinationAddress: route.address,
       destinationPort: route.port,
