--- a/src/catalog/catalog.spec.ts
+++ b/src/catalog/catalog.spec.ts
@@ -41,6 +41,16 @@
   };
 }
 
+/** Time of reads without a gap after which a daemon knows every entry of late. */
+const STEADY_MS = 21_000;
+
+/** Has reads without news confirm the catalog, from 0 on. */
+function readFor(catalog: Catalog, lastsMs: number): void {
+  Array.from({length: lastsMs / 1_000}, (_read, index) =>
+    catalog.confirmAll(index * 1_000),
+  );
+}
+
 function openIds(catalog: Catalog): string[] {
   return catalog
     .openServers('pay')
@@ -50,11 +60,14 @@
 
 test('a later server at the address of a listed one is proof that that one ended', () => {
   const catalog = createCatalog();
+  readFor(catalog, STEADY_MS);
   const old = serverOf('i-1', 1, {address: 7});
   const next = serverOf('i-2', 2, {address: 7, service: 'docs'});
-  catalog.takeServers({revision: 1, servers: [old], evacuated: []}, 0);
+  const at = STEADY_MS;
+  catalog.takeServers({revision: 1, servers: [old], evacuated: []}, at);
   assert.equal(catalog.isGone(old), false);
-  catalog.takeServers({revision: 2, servers: [old, next], evacuated: []}, 500);
+  const both = {revision: 2, servers: [old, next], evacuated: []};
+  catalog.takeServers(both, at + 500);
   assert.equal(catalog.isGone(old), true);
   assert.equal(catalog.isGone(next), false);
   assert.deepEqual(openIds(catalog), []);
--- a/src/catalog/departures.ts
+++ b/src/catalog/departures.ts
@@ -114,6 +114,11 @@
     });
   }
 
+  /** Whether a server's entry may have lapsed although the server lives. */
+  mayHaveLapsed(id: string): boolean {
+    return this.departures.get(id)?.mayHaveLapsed === true;
+  }
+
   /** Records that the entry of a server went of which no record is known. */
   addId(id: string, at: number): void {
     this.ids.set(id, at + this.flowLifetimeMs);
--- a/src/catalog/known-servers.ts
+++ b/src/catalog/known-servers.ts
@@ -95,7 +95,10 @@
     const lapsed = this.departures
       .lapsed()
       .filter(
-        server => server.service === service && !this.table.isEvacuated(server),
+        server =>
+          server.service === service &&
+          !this.table.isEvacuated(server) &&
+          !this.table.isAddressTaken(server),
       );
     return lapsed.length === 0 ? listed : [...listed, ...lapsed];
   }
@@ -107,7 +110,7 @@
 
   /** Whether a server has ended for certain. */
   isGone(id: string): boolean {
-    return this.table.isSucceeded(id) || this.departures.isGone(id);
+    return this.table.hasEnded(id) || this.departures.isGone(id);
   }
 
   /** Servers whose end became certain since this was asked last. */
@@ -180,8 +183,9 @@
 
   /** Notes that the list was read at a time; servers long departed lose their cookies. */
   confirm(at: number): void {
-    this.departures
-      .confirm(at)
+    const forgotten = this.departures.confirm(at);
+    forgotten.forEach(id => this.table.forgetLeft(id));
+    forgotten
       .filter(id => !this.table.isUnreadable(id))
       .forEach(id => this.cookies.remove(id));
   }
@@ -213,18 +217,17 @@
     const isNamed = this.options.isNamed(service);
     const former = this.serverById(id);
     const hasCome =
-      !this.isListed(id) ||
       former?.address !== address ||
       former.port !== port ||
       former.startTime !== server.startTime;
     this.departures.remove(id);
-    this.table.put(server, isNamed);
+    this.table.put(server, isNamed, this.isSteady);
     if (isNamed) {
       this.ofUnnamedServices.delete(id);
     } else {
       this.ofUnnamedServices.add(id);
     }
-    if (isNamed && hasCome) {
+    if (isNamed && hasCome && this.isSteady) {
       this.departures.supersede(address, port);
     }
     if (isNamed || former === undefined) {
@@ -251,6 +254,7 @@
   private depart(entry: RemovedServer, at: number): CatalogServer[] {
     const {id} = entry;
     const isListed = this.isListed(id);
+    const hadEnded = this.table.hasEnded(id);
     const wasSucceeded = this.table.isSucceeded(id);
     const isRemoved = this.table.remove(entry);
     if (!isRemoved) {
@@ -263,7 +267,8 @@
       return [];
     }
     this.departures.add(server, at);
-    if (wasSucceeded) {
+    const hasGone = wasSucceeded && !this.departures.mayHaveLapsed(id);
+    if (hadEnded || hasGone) {
       this.departures.supersede(server.address, server.port);
     }
     return [server];
--- a/src/catalog/reader.ts
+++ b/src/catalog/reader.ts
@@ -7,6 +7,7 @@
 import {
   SourceFailureKind,
   type CatalogReading,
+  type EventsReading,
   type CatalogSource,
   type SourceFailure,
 } from '../ports/catalog-source.js';
@@ -326,7 +327,7 @@
 
   private awaitEvents(
     sentAt: number,
-  ): Promise<Result<CatalogEvents, SourceFailure>> {
+  ): Promise<Result<EventsReading, SourceFailure>> {
     const {catalog, source} = this.options;
     const deadline = sentAt + this.waitMs(sentAt);
     const {serverRevision} = catalog.stamp;
@@ -347,15 +348,10 @@
    * revision that it ended with is not taken, so that an event which it failed
    * to show is still ahead of the next wait.
    */
-  private takeEvents(events: CatalogEvents, sentAt: number): undefined {
+  private takeEvents(events: EventsReading, sentAt: number): undefined {
     const {catalog, clock} = this.options;
-    const {routes, written, unreadable = [], removed, domains} = events;
-    const isEmpty =
-      routes === undefined &&
-      events.keptRevision === undefined &&
-      [written, unreadable, removed, domains].every(({length}) => length === 0);
     this.keeper.noteWritten(events.keptRevision ?? 0);
-    if (isEmpty) {
+    if (events.changeCount === 0) {
       catalog.confirmAll(sentAt);
     } else {
       catalog.takeEvents(events, clock.now());
--- a/src/catalog/records.ts
+++ b/src/catalog/records.ts
@@ -89,6 +89,7 @@
 
 /** What the store reported since an earlier revision. */
 export interface CatalogEvents {
+
   /** All events up to this revision are in it. */
   readonly revision: number;
   /** Undefined when no version of the routes was written. */
--- a/src/catalog/server-lives.spec.ts
+++ b/src/catalog/server-lives.spec.ts
@@ -43,6 +43,18 @@
   return catalog;
 }
 
+/** Time of reads without a gap after which a daemon knows every entry of late. */
+const STEADY_MS = 21_000;
+
+/** A catalog that reads confirmed for so long; times in its tests count from then. */
+function createSteadyCatalog(): Catalog {
+  const catalog = createCatalog();
+  Array.from({length: STEADY_MS / 1_000 + 1}, (_read, index) =>
+    catalog.confirmAll(index * 1_000 - STEADY_MS),
+  );
+  return catalog;
+}
+
 /** A server's entry as of a revision. */
 function entryOf(
   id: string,
@@ -284,7 +296,7 @@
 });
 
 test('a server that starts again elsewhere leaves its address, and is not succeeded any more', () => {
-  const catalog = createCatalog();
+  const catalog = createSteadyCatalog();
   const former = entryOf('i-1', 1, {address: 7});
   const next = entryOf('i-2', 2, {address: 7, service: 'docs'});
   catalog.takeServers(listOf(2, [former, next]), 0);
@@ -308,9 +320,9 @@
   const second = entryOf('i-2', 5, {address: 8});
   const back = {address: 8, startTime: 70, createdRevision: 1};
   const reborn = entryOf('i-1', 9, back);
-  const seenBoth = createCatalog();
+  const seenBoth = createSteadyCatalog();
   seenBoth.takeServers(listOf(5, [first, second]), 0);
-  const started = createCatalog();
+  const started = createSteadyCatalog();
   [seenBoth, started].forEach(catalog => {
     catalog.takeServers(listOf(9, [reborn, second]), 1);
     assert.equal(catalog.isGone(second), true);
@@ -382,7 +394,7 @@
   holder.takeServers(listOf(2, [], ['i-1']), 1);
   const [route] = holder.allRoutes();
   const cookie = holder.cookieOf(server, route) ?? 0;
-  const started = createCatalog();
+  const started = createSteadyCatalog();
   started.takeServers(listOf(2, [], ['i-1']), 0);
   const [same] = started.allRoutes();
   assert.equal(started.serverOf(cookie, same), undefined);
@@ -447,7 +459,7 @@
 });
 
 test('ends are told once they are certain: by a later server, and by time', () => {
-  const catalog = createCatalog();
+  const catalog = createSteadyCatalog();
   const [first, second] = [entryOf('i-1', 1), entryOf('i-2', 1)];
   catalog.takeServers(listOf(1, [first, second]), 0);
   const changes = changesOf(catalog);
@@ -463,3 +475,67 @@
   );
   assert.deepEqual(endedOf().slice(-1), ['i-2']);
 });
+
+/** A run of a server that ended, the next one there, and a late write of the former. */
+const ENDED = entryOf('i-1', 1, {address: 7});
+const NEXT = entryOf('i-2', 5, {address: 7});
+const WRITTEN_LATE = entryOf('i-1', 6, {address: 7});
+
+test('an entry that is written late, after the next server at its address, ends nobody', () => {
+  const catalog = createSteadyCatalog();
+  catalog.takeServers(listOf(1, [ENDED]), 0);
+  catalog.takeServers(listOf(2, []), 500);
+  catalog.takeServers(listOf(5, [NEXT]), 1_000);
+  assert.equal(catalog.isGone(ENDED), true);
+  catalog.takeServers(listOf(6, [NEXT, WRITTEN_LATE]), 1_500);
+  assert.equal(catalog.isGone(NEXT), false);
+  assert.equal(catalog.isGone(WRITTEN_LATE), true);
+  assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-2']);
+  catalog.takeServers(listOf(7, [NEXT]), 5_000);
+  assert.equal(catalog.isGone(NEXT), false);
+  assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-2']);
+});
+
+test('a daemon that may not have known an entry before takes neither for ended, until one goes', () => {
+  const catalog = createCatalog();
+  catalog.takeServers(listOf(5, [NEXT]), 0);
+  catalog.takeServers(listOf(6, [NEXT, WRITTEN_LATE]), 1_000);
+  assert.equal(catalog.isGone(NEXT), false);
+  assert.equal(catalog.isGone(WRITTEN_LATE), false);
+  // It opens flows at one of the two alone.
+  assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-1']);
+  catalog.takeServers(listOf(7, [NEXT]), 4_000);
+  assert.equal(catalog.isGone(NEXT), false);
+  assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-2']);
+});
+
+test('a daemon that has just started is sure of an end once the entry has gone', () => {
+  const catalog = createCatalog();
+  const changes = changesOf(catalog);
+  catalog.takeServers(listOf(5, [ENDED, NEXT]), 0);
+  assert.equal(catalog.isGone(ENDED), false);
+  assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-2']);
+  catalog.confirmAll(1_000);
+  catalog.confirmAll(2_500);
+  catalog.takeServers(listOf(6, [NEXT]), 3_000);
+  assert.equal(catalog.isGone(ENDED), true);
+  assert.deepEqual(idsOf(changes.flatMap(({ended}) => ended)), ['i-1']);
+});
+
+test('a server that lapsed and is back has not come to its address again', () => {
+  const catalog = createSteadyCatalog();
+  catalog.takeServers(listOf(1, [ENDED]), 0);
+  catalog.takeServers(listOf(5, [ENDED, NEXT]), 500);
+  // The store was away; the dead server's last write is done after the living one's.
+  catalog.takeServers(listOf(6, []), 10_000);
+  catalog.takeServers(listOf(8, [entryOf('i-2', 8, {address: 7})]), 11_000);
+  catalog.takeServers(
+    listOf(9, [
+      entryOf('i-2', 8, {address: 7}),
+      entryOf('i-1', 9, {address: 7}),
+    ]),
+    12_000,
+  );
+  assert.equal(catalog.isGone(NEXT), false);
+  assert.deepEqual(idsOf(catalog.openServers('pay')), ['i-2']);
+});
--- a/src/catalog/server-table.ts
+++ b/src/catalog/server-table.ts
@@ -82,12 +82,22 @@
     return this.unreadable.has(id);
   }
 
-  /** Whether a later server has the address of a listed one. */
+  /** Whether a later server has the address of a listed one for certain. */
+  hasEnded(id: string): boolean {
+    return this.addresses.hasEnded(id);
+  }
+
+  /** Whether a later server seems to have the address of a listed one. */
   isSucceeded(id: string): boolean {
     return this.addresses.isSucceeded(id);
   }
 
-  /** Servers that were succeeded since this was asked last. */
+  /** Whether a listed server has the address of one that is not listed. */
+  isAddressTaken(server: CatalogServer): boolean {
+    return this.addresses.isTaken(server);
+  }
+
+  /** Servers that have ended so since this was asked last. */
   takeSucceeded(): CatalogServer[] {
     return this.addresses
       .takeSucceeded()
@@ -120,9 +130,10 @@
 
   /**
    * Takes a later entry of a server. One that may be anybody's (`isNamed` is false: no
-   * version names its service) has ended nobody at its address.
+   * version names its service) has ended nobody at its address; nor has any, for certain,
+   * while entries of late may not all be known (`isCertain` is false).
    */
-  put(server: CatalogServer, isNamed: boolean): void {
+  put(server: CatalogServer, isNamed: boolean, isCertain: boolean): void {
     const known = this.servers.get(server.id);
     const unreadable = this.unreadable.get(server.id);
     this.change(server.id, () => {
@@ -131,10 +142,17 @@
         this.unreadable.delete(server.id);
       }
     });
-    this.noteAddress(server, known, isNamed);
+    if (isNamed) {
+      this.noteAddress(server, isCertain);
+    }
     [server, known].forEach(each => this.open.delete(each?.service ?? ''));
   }
 
+  /** Forgets a server that left the list long ago. */
+  forgetLeft(id: string): void {
+    this.addresses.forgetLeft(id);
+  }
+
   /** Takes a later entry that cannot be read: the server is held as it was. */
   putUnreadable(entry: UnreadableEntry): void {
     this.change(entry.id, () => this.unreadable.set(entry.id, entry));
@@ -150,12 +168,13 @@
       return false;
     }
     const isKnown = this.servers.has(id) || this.unreadable.has(id);
-    this.open.delete(this.servers.get(id)?.service ?? '');
     this.change(id, () => {
       this.servers.delete(id);
       this.unreadable.delete(id);
     });
-    this.addresses.forget(id);
+    this.addresses.remove(id);
+    // Another one that seemed to be succeeded may take new flows again.
+    this.open.clear();
     this.removals.note({id, revision});
     return isKnown;
   }
@@ -237,16 +256,10 @@
   }
 
   /** Of two servers at one address, the one that came earlier has ended. */
-  private noteAddress(
-    server: CatalogServer,
-    known: CatalogServer | undefined,
-    isNamed: boolean,
-  ): void {
-    if (isNamed) {
-      const ended = this.addresses.put(server, known);
-      const service = this.servers.get(ended ?? '')?.service;
-      this.open.delete(service ?? '');
-    }
+  private noteAddress(server: CatalogServer, isCertain: boolean): void {
+    const earlier = this.addresses.put(server, isCertain);
+    const service = this.servers.get(earlier ?? '')?.service;
+    this.open.delete(service ?? '');
   }
 
   /** Revision of the newest entry of an id, whether it can be read or not. */
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -201,6 +201,7 @@
       onSilent: ({id}) => this.noteSilent(id),
       onUnanswered: server => this.reach.suspect(server),
       isUnreachable: id => this.reach.isUnreachable(id),
+      isLost: id => this.reach.isLost(id),
       regionOf: domain => settings.regions.get(domain),
       coldLimits: settings.coldLimits,
       countDaemons: () => this.peers.countDaemons(clock.now()),
@@ -252,7 +253,7 @@
       vote: (daemon, server, result) =>
         this.spread.vote(daemon, server, result),
       announce: () => this.spread.announce(),
-      onUnreachable: server => void this.endings.noteUnreachable(server),
+      onLost: server => this.endings.noteLost(server),
     });
   }
 
--- a/src/entry/flow-endings.spec.ts
+++ b/src/entry/flow-endings.spec.ts
@@ -20,6 +20,8 @@
 /** Work that outlasts a test. */
 const LONG_WORK_MS = 30_000;
 const FEEDBACK = {feedback: true, pressure: false};
+/** Time after its start from which on a daemon knows every entry of late. */
+const KNOWN_AFTER_MS = 20_000;
 
 async function createWorld(plan: Partial<WorldPlan> = {}) {
   return CookieWorld.create(
@@ -210,6 +212,8 @@
 
 test('idle flows of a server that has ended for certain end at once, those with a request do not', async () => {
   const world = await createWorld();
+  // A daemon that has just started can't know who came to an address first.
+  await world.clock.advance(KNOWN_AFTER_MS);
   const callers = await openFlows(world, 60, 10_000);
   const [server] = world.liveServers('pay');
   const idle = flowsAt(callers, [server]);
@@ -325,71 +329,80 @@
   repeatable: true,
 });
 
-/** Each daemon that is cut off has links to servers, or to peers, that are whole. */
-const CUTS = ['cut-peers', 'cut-servers'];
+const FAULTS = fc.array(
+  fc.record({
+    afterMs: fc.integer({min: 50, max: 1_500}),
+    kind: fc.constantFrom(
+      'restart',
+      'move',
+      'spoil',
+      'kill',
+      'cut-peers',
+      'cut-servers',
+      'cut-store',
+      'store-down',
+      'forget',
+      'drain',
+      'crash',
+      'pause',
+      'reuse',
+    ),
+    which: fc.nat(7),
+    lastsMs: fc.integer({min: 200, max: 4_000}),
+  }),
+  {minLength: 2, maxLength: 8},
+);
 
-const FAULTS = fc
-  .array(
-    fc.record({
-      afterMs: fc.integer({min: 50, max: 1_500}),
-      kind: fc.constantFrom(
-        'restart',
-        'move',
-        'spoil',
-        'kill',
-        ...CUTS,
-        'cut-store',
-        'store-down',
-        'forget',
-        'drain',
-        'crash',
-        'pause',
-        'reuse',
-      ),
-      which: fc.nat(7),
-      lastsMs: fc.integer({min: 200, max: 4_000}),
-    }),
-    {minLength: 2, maxLength: 8},
-  )
-  .map(faults => {
-    // Two daemons that are cut off at once find servers unreachable that live.
-    const firstCut = faults.find(({kind}) => CUTS.includes(kind));
-    return faults.filter(
-      fault => !CUTS.includes(fault.kind) || fault === firstCut,
-    );
+/** A small world in which callers of two routes keep flows with pauses. */
+function createFuzzedWorld(seed: number, isOn: boolean): Promise<CookieWorld> {
+  return createWorld({
+    seed,
+    daemons: 5,
+    failureDomains: ['a', 'b'],
+    services: [
+      {name: 'pay', servers: 6, slots: 2, workMs: 20},
+      {name: 'docs', servers: 3, slots: 2, workMs: 400},
+    ],
+    routes: [PAY, DOCS],
+    features: {feedback: isOn, pressure: false},
   });
+}
+
+function callByTurns(world: CookieWorld, index: number): void {
+  world.call(index % 2 === 0 ? PAY : DOCS, 50, 15_000, 300);
+}
+
+test('daemons that are cut off find living servers unreachable, and no other one believes it unseen', async () => {
+  const world = await createFuzzedWorld(1, false);
+  Array.from({length: 30}, (_call, index) => callByTurns(world, index));
+  const cuts = [
+    {afterMs: 50, kind: 'cut-servers', which: 0, lastsMs: 342},
+    {afterMs: 50, kind: 'cut-peers', which: 6, lastsMs: 200},
+    {afterMs: 50, kind: 'cut-servers', which: 7, lastsMs: 243},
+  ];
+  await cuts.reduce<Promise<void>>(async (before, cut) => {
+    await before;
+    await world.clock.advance(cut.afterMs);
+    strike(world, cut, [PAY, DOCS]);
+    Array.from({length: 6}, (_call, index) => callByTurns(world, index));
+  }, Promise.resolve());
+  await world.clock.advance(10_000);
+  assert.deepEqual(world.broken, []);
+});
 
 test('under any mix of restarts, spoiled entries and faults no flow of a living server is reset', async () => {
-  const hasher = await XxhashHasher.create();
   await fc.assert(
     fc.asyncProperty(
       fc.integer({min: 1, max: 1e6}),
       fc.boolean(),
       FAULTS,
       async (seed, isOn, faults) => {
-        const world = await CookieWorld.create(
-          {
-            seed,
-            daemons: 5,
-            failureDomains: ['a', 'b'],
-            services: [
-              {name: 'pay', servers: 6, slots: 2, workMs: 20},
-              {name: 'docs', servers: 3, slots: 2, workMs: 400},
-            ],
-            routes: [PAY, DOCS],
-            bounds: BOUNDS,
-            features: {feedback: isOn, pressure: false},
-            confirms: true,
-          },
-          hasher,
-        );
-        const call = (index: number) =>
-          world.call(index % 2 === 0 ? PAY : DOCS, 50, 15_000, 300);
-        Array.from({length: 30}, (_call, index) => call(index));
+        const world = await createFuzzedWorld(seed, isOn);
+        Array.from({length: 30}, (_call, index) => callByTurns(world, index));
         for (const fault of faults) {
           await world.clock.advance(fault.afterMs);
           strike(world, fault, [PAY, DOCS]);
-          Array.from({length: 6}, (_call, index) => call(index));
+          Array.from({length: 6}, (_call, index) => callByTurns(world, index));
         }
         await world.clock.advance(10_000);
         // Bounds in time hold while the store answers, as judged elsewhere.
--- a/src/entry/flow-endings.ts
+++ b/src/entry/flow-endings.ts
@@ -77,16 +77,12 @@
   }
 
   /**
-   * Callers that wait for a server that several daemons cannot reach come again elsewhere
-   * if their requests may be repeated; idle flows there end once this daemon has tried it
-   * as well.
+   * Callers that wait for a server that neither others nor this daemon can reach come
+   * again elsewhere if their requests may be repeated; idle flows there end.
    */
-  async noteUnreachable(server: CatalogServer): Promise<void> {
+  noteLost(server: CatalogServer): void {
     this.options.packets.resetWaiting(server);
-    const hasIdle = this.idleAt(server).length > 0;
-    if (hasIdle && (await this.options.reach.isLost(server))) {
-      this.resetIdle(server);
-    }
+    this.resetIdle(server);
   }
 
   /** What was under way at a server's former life is void, and its flows end there. */
@@ -182,7 +178,7 @@
     if (catalog.isGone(server) && router.isCurrent()) {
       return RefusalReason.SERVER_GONE;
     }
-    return this.options.reach.isUnreachable(server.id)
+    return this.options.reach.isLost(server.id)
       ? RefusalReason.SERVER_UNREACHABLE
       : undefined;
   }
--- a/src/ports/catalog-source.ts
+++ b/src/ports/catalog-source.ts
@@ -53,6 +53,12 @@
   readonly servers: ServerListing;
 }
 
+/** What a wait for events ended with. */
+export interface EventsReading extends CatalogEvents {
+  /** Changes reported, those included that say nothing here; 0: none came in time. */
+  readonly changeCount: number;
+}
+
 /** Bytes that daemons keep at the source for daemons that start. */
 export interface KeptCopy {
   readonly bytes: Uint8Array;
@@ -85,13 +91,12 @@
     deadline: number,
   ): ResultAsync<CatalogReading, SourceFailure>;
   /**
-   * Waits until something is written after `revision` or `deadline` comes; the
-   * events are then empty.
+   * Waits until something is written after `revision` or `deadline` comes.
    */
   abstract awaitEvents(
     revision: number,
     deadline: number,
-  ): ResultAsync<CatalogEvents, SourceFailure>;
+  ): ResultAsync<EventsReading, SourceFailure>;
   /**
    * Reads the kept copy as it was at some moment of late, at a fraction of the price;
    * undefined when there is none.
--- a/src/reachability/server-reachability.ts
+++ b/src/reachability/server-reachability.ts
@@ -71,8 +71,8 @@
   vote(daemon: number, server: string, result: ContactResult): void;
   /** Tells the peers at once what was found. */
   announce(): void;
-  /** Told of a server that cannot be reached from now on. */
-  onUnreachable(server: CatalogServer): void;
+  /** Told of a server that is lost to this daemon from now on. */
+  onLost(server: CatalogServer): void;
 }
 
 /** What one daemon finds out and knows. */
@@ -83,6 +83,8 @@
   private readonly holds = new Map<string, number>();
   /** Until when findings on a service count for nothing; monotonic milliseconds. */
   private readonly doubts = new Map<string, number>();
+  /** Servers that this daemon could not reach either, by id, with the life meant. */
+  private readonly lost = new Map<string, number>();
   private attempts = 0;
   private isStopped = false;
 
@@ -137,21 +139,12 @@
   }
 
   /**
-   * Tries to reach a server that was found unreachable, before it is taken for lost here:
-   * those that found it so may be cut off themselves. Tells all if it was reached.
+   * Whether a server cannot be reached by others, nor by this daemon: those that found it
+   * so may be cut off themselves, and a flow of a server that lives must not be reset.
    */
-  async isLost(server: CatalogServer): Promise<boolean> {
-    if (this.attempts >= MAXIMUM_ATTEMPTS) {
-      return false;
-    }
-    const result = await this.attempt(server);
-    if (result === ContactResult.SILENT) {
-      return this.isUnreachable(server.id);
-    }
-    if (!this.isStopped) {
-      this.find(server, true);
-    }
-    return false;
+  isLost(id: string): boolean {
+    const startTime = this.options.serverById(id)?.startTime;
+    return this.lost.get(id) === startTime && this.isUnreachable(id);
   }
 
   /** Takes what a peer found that was asked. */
@@ -161,19 +154,14 @@
 
   /** Takes what others found; true if it is news of the life that is known. */
   hear(finding: ReachFinding): boolean {
-    const now = this.options.clock.now();
     const server = this.options.serverById(finding.server);
     if (server !== undefined && server.startTime !== finding.startTime) {
       return false;
     }
-    const wasKnown = this.known.has(finding.server, now);
-    const isNews = this.known.take(finding, now);
-    const isLost =
-      !wasKnown && server !== undefined && this.isUnreachable(server.id);
-    if (isNews && isLost) {
-      this.options.onUnreachable(server);
-    }
-    return isNews;
+    return this.take(finding, server, found => {
+      this.lost.delete(found.id);
+      void this.tryMyself(found);
+    });
   }
 
   /** Findings to tell in a beat. */
@@ -192,10 +180,53 @@
   /** What was found of a former life, or is being found, says nothing of the new one. */
   private noteRestarted(id: string): void {
     this.known.noteRestarted(id);
+    this.lost.delete(id);
     this.inquiries.delete(id);
     this.holds.delete(id);
   }
 
+  /** Takes a finding; true if it is news. A server that was not unreachable calls a task. */
+  private take(
+    finding: ReachFinding,
+    server: CatalogServer | undefined,
+    onUnreachable: (server: CatalogServer) => void,
+  ): boolean {
+    const wasKnown = this.known.has(finding.server, this.options.clock.now());
+    const isNews = this.known.take(finding, this.options.clock.now());
+    const isFound =
+      !wasKnown && server !== undefined && this.isUnreachable(server.id);
+    if (isNews && isFound) {
+      onUnreachable(server);
+    }
+    return isNews;
+  }
+
+  /** Tries a server that others could not reach; tells all if it was reached. */
+  private async tryMyself(server: CatalogServer): Promise<void> {
+    if (this.attempts >= MAXIMUM_ATTEMPTS) {
+      await this.sleepUntil(this.options.clock.now() + CONTACT_MS);
+    }
+    const result = await this.attempt(server);
+    if (this.isStopped) {
+      return;
+    }
+    if (result === ContactResult.SILENT) {
+      this.lose(server);
+    } else if (this.isUnreachable(server.id)) {
+      this.find(server, true);
+    }
+  }
+
+  /** Takes a server for lost that this daemon could not reach, if others could not. */
+  private lose(server: CatalogServer): void {
+    this.lost.set(server.id, server.startTime);
+    if (this.isLost(server.id)) {
+      this.options.onLost(server);
+    } else {
+      this.lost.delete(server.id);
+    }
+  }
+
   /** Asks peers, tries as well, and tells everyone if nobody reached the server. */
   private async inquire(server: CatalogServer): Promise<void> {
     const {clock, self, log} = this.options;
@@ -244,15 +275,18 @@
   }
 
   /** Takes and tells what was found of one life of a server, unless it has ended. */
-  private find({id, startTime}: CatalogServer, reached: boolean): void {
+  private find(server: CatalogServer, reached: boolean): void {
     const {log, clock} = this.options;
+    const {id, startTime} = server;
     if (this.options.serverById(id)?.startTime !== startTime) {
       return;
     }
     log.warn(reached ? 'server-reached-again' : 'server-unreachable', {
       server: id,
     });
-    this.hear({server: id, reached, at: clock.now(), startTime});
+    const finding = {server: id, reached, at: clock.now(), startTime};
+    // Its own attempt was part of the finding.
+    this.take(finding, server, found => this.lose(found));
     this.options.announce();
   }
 
--- a/src/routing/cookie-router.spec.ts
+++ b/src/routing/cookie-router.spec.ts
@@ -84,6 +84,7 @@
     onSilent: ({id}) => silent.push(id),
     onUnanswered: () => undefined,
     isUnreachable: id => unreachable.has(id),
+    isLost: id => unreachable.has(id),
     regionOf: domain => REGIONS.get(domain),
     coldLimits: {excess: 1.5, slack: 5},
     countDaemons: () => 8,
--- a/src/routing/cookie-router.ts
+++ b/src/routing/cookie-router.ts
@@ -69,6 +69,8 @@
   readonly counters: Counters;
   /** Time in which a version has to be in force everywhere, in milliseconds. */
   readonly inForceLimitMs: number;
+  /** Whether neither others nor this daemon can reach a server. */
+  isLost(server: string): boolean;
   /** Told of callers' requests as they end; undefined where nobody asks. */
   readonly observer: RequestObserver | undefined;
   /** Whether packets are kept for servers that start again; undefined: no. */
@@ -161,11 +163,7 @@
     route: KnownRoute,
     server: CatalogServer,
   ): boolean {
-    return (
-      route.repeatable &&
-      !packet.resets &&
-      this.options.isUnreachable(server.id)
-    );
+    return route.repeatable && !packet.resets && this.options.isLost(server.id);
   }
 
   /**
--- a/standins/catalog-store.ts
+++ b/standins/catalog-store.ts
@@ -15,6 +15,7 @@
   SourceFailure,
   SourceFailureKind,
   type CatalogReading,
+  type EventsReading,
   type KeepOutcome,
   type KeptCopy,
 } from '../src/ports/catalog-source.js';
@@ -188,12 +189,13 @@
   }
 
   /** Events after a revision; undefined when they are no longer kept. */
-  eventsAfter(revision: number): CatalogEvents | undefined {
+  eventsAfter(revision: number): EventsReading | undefined {
     if (revision < this.forgottenUpTo) {
       return undefined;
     }
     const events = this.events.filter(event => event.revision > revision);
     return {
+      changeCount: events.length,
       revision: this.revision,
       routes: events.flatMap(({routes}) => routes ?? []).pop(),
       written: events.flatMap(({written}) => written ?? []),
@@ -323,8 +325,8 @@
   awaitEvents(
     revision: number,
     deadline: number,
-  ): ResultAsync<CatalogEvents, SourceFailure> {
-    const wait = async (): Promise<Result<CatalogEvents, SourceFailure>> => {
+  ): ResultAsync<EventsReading, SourceFailure> {
+    const wait = async (): Promise<Result<EventsReading, SourceFailure>> => {
       const now = this.store.eventsAfter(revision);
       const isNews = now === undefined || now.revision > revision;
       if (!isNews) {
--- a/standins/cookie-server-fleet.ts
+++ b/standins/cookie-server-fleet.ts
@@ -75,11 +75,17 @@
     part: {startTime: number; address: number},
     plan: ServerWorkPlan,
   ): CookieServer {
+    // What disturbed the server of late disturbed it, in whichever life.
+    const resumedAt = former.isSilent
+      ? this.options.clock.now()
+      : former.resumedAt;
     former.crash(true);
     if (this.occupants.get(former.entry.address) === former) {
       this.occupants.delete(former.entry.address);
     }
-    return this.start({...former.entry, ...part}, plan);
+    const server = this.start({...former.entry, ...part}, plan);
+    server.resumedAt = resumedAt;
+    return server;
   }
 
   /** The server of an id, whether it runs or not. */
